--- a/packages/coordination/src/quarantine/broken-attempts.ts
+++ b/packages/coordination/src/quarantine/broken-attempts.ts
@@ -1,44 +1,44 @@
 import type {RequestFingerprint} from './request-fingerprint.js';
 
-/** How far a request had come: its answer had not begun, had begun without a part for the caller, or was on its way. */
+/** The progress of a request: `waiting` before its answer started, `begun` after that but before any part for the caller, `answering` from then on. */
 export type AnswerStage = 'waiting' | 'begun' | 'answering';
 
-/** An attempt whose connection the endpoint's side ended. */
+/** An attempt whose connection was ended by the endpoint's side. */
 export type BrokenAttempt = {readonly fingerprint: RequestFingerprint; readonly address: string; readonly atMs: number; readonly stage: AnswerStage};
 
 /**
- * Attempts that broke lately, until a sign tells whether their endpoint ended or
- * only their connection did. Without that sign a lost answer, a reset connection
- * or a stream that is cut for a new version would look like a crash.
+ * Recently broken attempts, kept until a sign shows whether the endpoint exited or
+ * only the connection ended. Without that sign, a lost answer, a reset connection or a
+ * stream that was cut for a new version would look like a crash.
  */
 export type BrokenAttempts = {
 	/** Oldest first. */
 	readonly waiting: BrokenAttempt[];
-	/** When each endpoint last was seen to have ended. */
+	/** When the last exit of each endpoint was confirmed. */
 	readonly endedAtMs: Map<string, number>;
 };
 
-/** Signs come from the endpoint's own host, from a refused connection, or with the next start. */
-const confirmWithinMs = 2000;
-/** A sign that is older says nothing of a connection that ends now: another start may run there. */
-const signFreshMs = 500;
-const mostWaiting = 1024;
+/** Exits are confirmed by the endpoint's own host, by a refused connection, or by the next start. */
+const confirmationTimeoutMs = 2000;
+/** After this time, an exit does not explain a connection that ends now: another start may be running there. */
+const exitFreshMs = 500;
+const maxWaiting = 1024;
 
 export const createBrokenAttempts = (): BrokenAttempts => ({waiting: [], endedAtMs: new Map()});
 
-const forgetOld = ({waiting, endedAtMs}: BrokenAttempts, nowMs: number): void => {
-	const firstKept = waiting.findIndex(({atMs}) => nowMs - atMs <= confirmWithinMs);
-	waiting.splice(0, firstKept === -1 ? waiting.length : Math.max(firstKept, waiting.length - mostWaiting));
+const pruneExpired = ({waiting, endedAtMs}: BrokenAttempts, nowMs: number): void => {
+	const firstKept = waiting.findIndex(({atMs}) => nowMs - atMs <= confirmationTimeoutMs);
+	waiting.splice(0, firstKept === -1 ? waiting.length : Math.max(firstKept, waiting.length - maxWaiting));
 	for (const [address, atMs] of endedAtMs) {
-		if (nowMs - atMs > signFreshMs) {
+		if (nowMs - atMs > exitFreshMs) {
 			endedAtMs.delete(address);
 		}
 	}
 };
 
-/** Notes a broken attempt; `true` if its endpoint is known to have ended. */
+/** Records a broken attempt; returns `true` if its endpoint is known to have exited. */
 export const noteBroken = (state: BrokenAttempts, broken: BrokenAttempt): boolean => {
-	forgetOld(state, broken.atMs);
+	pruneExpired(state, broken.atMs);
 	if (state.endedAtMs.has(broken.address)) {
 		return true;
 	}
@@ -48,7 +48,7 @@
 };
 
 const takeWaiting = (state: BrokenAttempts, address: string, nowMs: number): BrokenAttempt[] => {
-	forgetOld(state, nowMs);
+	pruneExpired(state, nowMs);
 	const taken = state.waiting.filter(broken => broken.address === address);
 	if (taken.length > 0) {
 		state.waiting.splice(0, state.waiting.length, ...state.waiting.filter(broken => broken.address !== address));
@@ -57,13 +57,13 @@
 	return taken;
 };
 
-/** An endpoint was seen to have ended; returns the attempts that it took along. */
+/** Records a confirmed exit of an endpoint; returns the attempts that it broke. */
 export const confirmEnded = (state: BrokenAttempts, address: string, nowMs: number): BrokenAttempt[] => {
 	state.endedAtMs.set(address, nowMs);
 	return takeWaiting(state, address, nowMs);
 };
 
-/** Another start runs at the address: the one before has ended. Returns the attempts that it took along. */
+/** Records another start at the address, which means that the previous one exited; returns the attempts that this broke. */
 export const confirmRestarted = (state: BrokenAttempts, address: string, nowMs: number): BrokenAttempt[] => {
 	state.endedAtMs.delete(address);
 	return takeWaiting(state, address, nowMs);
--- a/packages/coordination/src/quarantine/crash-ledger.ts
+++ b/packages/coordination/src/quarantine/crash-ledger.ts
@@ -1,73 +1,73 @@
 import type {AnswerStage, BrokenAttempt} from './broken-attempts.js';
-import {isCondemned} from './judge-suspect.js';
+import {isCrashCause} from './judge-suspect.js';
 import {outlineIn, type RequestFingerprint, type RequestOutline} from './request-fingerprint.js';
 
-/** A request was at an endpoint when that ended; times are by the reader's steady clock. */
+/** A request was at an endpoint when that exited; times are by the reader's monotonic clock. */
 export type CrashSighting = BrokenAttempt;
 
-/** A request ran to its end at some endpoint. */
+/** A request ran to completion at some endpoint. */
 export type Clearance = {readonly fingerprint: RequestFingerprint; readonly atMs: number};
 
-/** One end of an endpoint, with the requests that were there. */
-export type EndpointEnd = {
+/** One exit of an endpoint, with the requests that were there. */
+export type EndpointExit = {
 	readonly address: string;
 	readonly atMs: number;
-	/** With how far each had come. */
+	/** The requests that were there, with the progress of each. */
 	readonly suspects: Map<RequestFingerprint, AnswerStage>;
-	/** The request that it is put down to; `null` while none stands out. */
+	/** The request that the exit is attributed to; `null` if none stands out. */
 	culprit: RequestFingerprint | null;
 };
 
-/** A request that is sent to no endpoint. */
+/** Quarantines a request: it is sent to no endpoint. */
 export type Verdict = {
 	readonly fingerprint: RequestFingerprint;
 	readonly sinceMs: number;
-	/** The endpoints that ended under it, the latest last; the first of more than `mostEvidence` are dropped. */
+	/** The exits attributed to it, the latest last; only the last `maxEvidence` are kept. */
 	readonly evidence: Array<Omit<CrashSighting, 'fingerprint'>>;
-	/** When the request is tried again. */
+	/** When the request may be tried again. */
 	untilMs: number;
 };
 
 /**
- * Which requests were at the endpoints that ended lately, and which of them ended
- * those endpoints. Grows by sightings only, in any order and any number of times,
- * so that all entries come to the same verdicts.
+ * The requests that were present at recent exits of endpoints, and those that caused
+ * them. Sightings only add to it, in any order and any number of times, so that all
+ * entries reach the same verdicts.
  */
 export type CrashLedger = {
-	/** Oldest first, without those that were put down to a request long ago. */
-	readonly ends: EndpointEnd[];
-	/** Also those that have run out, while they are on probation. */
+	/** Oldest first, except those attributed to a request long ago. */
+	readonly ends: EndpointExit[];
+	/** Includes expired verdicts during their probation. */
 	readonly verdicts: Map<RequestFingerprint, Verdict>;
-	/** When each request was last seen to run to its end; sightings from before count no more. */
+	/** When each request last ran to completion; earlier sightings are ignored. */
 	readonly clearedAtMs: Map<RequestFingerprint, number>;
-	/** Of all suspects and verdicts. */
+	/** The outlines of all suspects and verdicts. */
 	readonly outlines: Set<RequestOutline>;
 };
 
-/** Fewer ends than this condemn nobody. */
-const leastEnds = 3;
-/** Sightings of one address within this are of one end: endpoints need longer to be back. */
-const sameEndMs = 500;
-/** A verdict holds this long after the last end, so that a mended endpoint gets its try. */
-const verdictMs = 600_000;
-/** For this long behind it one more end is enough. */
+/** Fewer exits than this quarantine no request. */
+const minExits = 3;
+/** Sightings at one address within this time belong to one exit: endpoints take longer to restart. */
+const sameExitMs = 500;
+/** A verdict holds for this long after the last exit, so that a repaired endpoint is tried again. */
+const verdictDurationMs = 600_000;
+/** For this long after a verdict expires, one more exit renews it. */
 const probationMs = 3_600_000;
-const endsKeptMs = 600_000;
-/** Ends this close to each other may have one cause. */
-const seriesMs = 10_000;
-const clearanceKeptMs = 60_000;
-const mostEnds = 256;
-const mostSuspects = 128;
-const mostVerdicts = 256;
-const mostClearances = 1024;
-/** More than any verdict needs. */
-const mostEvidence = 8;
+const exitRetentionMs = 600_000;
+/** Exits this close to each other may have a common cause. */
+const correlationWindowMs = 10_000;
+const clearanceRetentionMs = 60_000;
+const maxExits = 256;
+const maxSuspects = 128;
+const maxVerdicts = 256;
+const maxClearances = 1024;
+/** More than any verdict requires. */
+const maxEvidence = 8;
 
 export const createCrashLedger = (): CrashLedger => ({
 	ends: [], verdicts: new Map(), clearedAtMs: new Map(), outlines: new Set(),
 });
 
-/** Whether a request with this outline may be known here; without it no body need be hashed. */
+/** Whether a request with this outline may be in the ledger; otherwise its body need not be hashed. */
 export const mayBeKnown = ({outlines}: CrashLedger, outline: RequestOutline): boolean => outlines.has(outline);
 
 export const isEmpty = ({ends, verdicts}: CrashLedger): boolean => ends.length === 0 && verdicts.size === 0;
@@ -78,7 +78,7 @@
 	return verdict !== undefined && nowMs < verdict.untilMs ? verdict : null;
 };
 
-const noteOutlines = ({ends, verdicts, outlines}: CrashLedger): void => {
+const rebuildOutlines = ({ends, verdicts, outlines}: CrashLedger): void => {
 	outlines.clear();
 	for (const {suspects} of ends) {
 		for (const fingerprint of suspects.keys()) {
@@ -91,9 +91,9 @@
 	}
 };
 
-const dropFirst = <Key>(map: Map<Key, unknown>, most: number): void => {
+const dropOldest = <Key>(map: Map<Key, unknown>, maxSize: number): void => {
 	for (const key of map.keys()) {
-		if (map.size <= most) {
+		if (map.size <= maxSize) {
 			return;
 		}
 
@@ -101,10 +101,10 @@
 	}
 };
 
-/** Forgets what has expired, and the oldest of what is beyond the bounds. */
+/** Removes expired records, and the oldest of those beyond the limits. */
 export const pruneLedger = (ledger: CrashLedger, nowMs: number): void => {
 	const {ends, verdicts, clearedAtMs} = ledger;
-	const kept = ends.filter(({atMs, suspects}) => nowMs - atMs <= endsKeptMs && suspects.size > 0).slice(-mostEnds);
+	const kept = ends.filter(({atMs, suspects}) => nowMs - atMs <= exitRetentionMs && suspects.size > 0).slice(-maxExits);
 	ends.splice(0, ends.length, ...kept);
 	for (const [fingerprint, {untilMs}] of verdicts) {
 		if (nowMs >= untilMs + probationMs) {
@@ -113,61 +113,61 @@
 	}
 
 	for (const [fingerprint, atMs] of clearedAtMs) {
-		if (nowMs - atMs > clearanceKeptMs) {
+		if (nowMs - atMs > clearanceRetentionMs) {
 			clearedAtMs.delete(fingerprint);
 		}
 	}
 
-	dropFirst(verdicts, mostVerdicts);
-	dropFirst(clearedAtMs, mostClearances);
-	noteOutlines(ledger);
+	dropOldest(verdicts, maxVerdicts);
+	dropOldest(clearedAtMs, maxClearances);
+	rebuildOutlines(ledger);
 };
 
-/** Of several copies at one end, that one counts which may have ended it: not one that waited behind it. */
+/** Of several copies at one exit, the one that may have caused it counts, not one that waited behind it. */
 const stageRank: Record<AnswerStage, number> = {waiting: 0, answering: 1, begun: 2};
 
-const findEnd = (ends: readonly EndpointEnd[], {address, atMs}: CrashSighting): EndpointEnd | undefined => ends.find(end => end.address === address && Math.abs(end.atMs - atMs) < sameEndMs);
+const findExit = (exits: readonly EndpointExit[], {address, atMs}: CrashSighting): EndpointExit | undefined => exits.find(exit => exit.address === address && Math.abs(exit.atMs - atMs) < sameExitMs);
 
-const addEnd = (ends: EndpointEnd[], {address, atMs}: CrashSighting): EndpointEnd => {
-	const end: EndpointEnd = {
+const addExit = (exits: EndpointExit[], {address, atMs}: CrashSighting): EndpointExit => {
+	const exit: EndpointExit = {
 		address, atMs, suspects: new Map(), culprit: null,
 	};
-	const later = ends.findIndex(other => other.atMs > atMs);
-	ends.splice(later === -1 ? ends.length : later, 0, end);
-	return end;
+	const later = exits.findIndex(other => other.atMs > atMs);
+	exits.splice(later === -1 ? exits.length : later, 0, exit);
+	return exit;
 };
 
-/** A condemned request was at one more end: the verdict holds on. `true` if it had run out before. */
+/** Extends the verdict on a request that was at one more exit; returns `true` if the verdict had expired. */
 const extendVerdict = (verdict: Verdict, {address, atMs, stage}: CrashSighting): boolean => {
-	if (verdict.evidence.some(known => known.address === address && Math.abs(known.atMs - atMs) < sameEndMs)) {
+	if (verdict.evidence.some(known => known.address === address && Math.abs(known.atMs - atMs) < sameExitMs)) {
 		return false;
 	}
 
-	const hadRunOut = atMs >= verdict.untilMs;
+	const hadExpired = atMs >= verdict.untilMs;
 	verdict.evidence.push({address, atMs, stage});
 	verdict.evidence.sort((a, b) => a.atMs - b.atMs);
-	verdict.evidence.splice(0, Math.max(0, verdict.evidence.length - mostEvidence));
-	verdict.untilMs = Math.max(verdict.untilMs, atMs + verdictMs);
-	return hadRunOut;
+	verdict.evidence.splice(0, Math.max(0, verdict.evidence.length - maxEvidence));
+	verdict.untilMs = Math.max(verdict.untilMs, atMs + verdictDurationMs);
+	return hadExpired;
 };
 
-/** Takes one sighting in; `false` if it was known. A verdict that it renews is added to `renewed`. */
-const takeSighting = ({ends, verdicts, clearedAtMs}: CrashLedger, sighting: CrashSighting, renewed: Verdict[]): boolean => {
+/** Records one sighting; returns `false` if it was known. A verdict that it renews is added to `renewed`. */
+const recordSighting = ({ends, verdicts, clearedAtMs}: CrashLedger, sighting: CrashSighting, renewed: Verdict[]): boolean => {
 	const {fingerprint, atMs} = sighting;
 	if (atMs <= (clearedAtMs.get(fingerprint) ?? Number.NEGATIVE_INFINITY)) {
 		return false;
 	}
 
-	const end = findEnd(ends, sighting) ?? addEnd(ends, sighting);
-	const known = end.suspects.get(fingerprint);
-	if (known === undefined ? end.suspects.size >= mostSuspects : stageRank[sighting.stage] <= stageRank[known]) {
+	const exit = findExit(ends, sighting) ?? addExit(ends, sighting);
+	const known = exit.suspects.get(fingerprint);
+	if (known === undefined ? exit.suspects.size >= maxSuspects : stageRank[sighting.stage] <= stageRank[known]) {
 		return false;
 	}
 
-	end.suspects.set(fingerprint, sighting.stage);
+	exit.suspects.set(fingerprint, sighting.stage);
 	const verdict = verdicts.get(fingerprint);
 	if (verdict !== undefined) {
-		end.culprit ??= fingerprint;
+		exit.culprit ??= fingerprint;
 		if (extendVerdict(verdict, sighting)) {
 			renewed.push(verdict);
 		}
@@ -176,31 +176,31 @@
 	return true;
 };
 
-type Suspect = {readonly fingerprint: RequestFingerprint; readonly ends: readonly EndpointEnd[]};
+type Suspect = {readonly fingerprint: RequestFingerprint; readonly ends: readonly EndpointExit[]};
 
-const isUnexplained = ({culprit, suspects}: EndpointEnd): boolean => culprit === null && suspects.size > 0;
+const isUnexplained = ({culprit, suspects}: EndpointExit): boolean => culprit === null && suspects.size > 0;
 
-/** Who was at ends that nobody is known to have caused, the most frequent first. */
+/** The requests that were present at unattributed exits, the most frequent first. */
 const suspectsOf = ({ends}: CrashLedger): Suspect[] => {
-	const endsOf = new Map<RequestFingerprint, EndpointEnd[]>();
-	for (const end of ends.filter(each => isUnexplained(each))) {
-		for (const fingerprint of end.suspects.keys()) {
-			const known = endsOf.get(fingerprint);
+	const exitsOf = new Map<RequestFingerprint, EndpointExit[]>();
+	for (const exit of ends.filter(each => isUnexplained(each))) {
+		for (const fingerprint of exit.suspects.keys()) {
+			const known = exitsOf.get(fingerprint);
 			if (known === undefined) {
-				endsOf.set(fingerprint, [end]);
+				exitsOf.set(fingerprint, [exit]);
 			} else {
-				known.push(end);
+				known.push(exit);
 			}
 		}
 	}
 
-	return [...endsOf].map(([fingerprint, own]) => ({fingerprint, ends: own})).toSorted((a, b) => b.ends.length - a.ends.length);
+	return [...exitsOf].map(([fingerprint, own]) => ({fingerprint, ends: own})).toSorted((a, b) => b.ends.length - a.ends.length);
 };
 
-/** Unexplained ends around those of a suspect, its own among them. */
-const countAround = (ledger: CrashLedger, {fingerprint, ends}: Suspect): number => {
+/** The number of unattributed exits around those of a suspect, including its own. */
+const countNearby = (ledger: CrashLedger, {fingerprint, ends}: Suspect): number => {
 	const lastMs = ends.at(-1)!.atMs;
-	return ledger.ends.filter(end => isUnexplained(end) && (end.suspects.has(fingerprint) || (end.atMs > lastMs - seriesMs && end.atMs <= lastMs))).length;
+	return ledger.ends.filter(exit => isUnexplained(exit) && (exit.suspects.has(fingerprint) || (exit.atMs > lastMs - correlationWindowMs && exit.atMs <= lastMs))).length;
 };
 
 const commonStageOf = ({fingerprint, ends}: Suspect): AnswerStage | null => {
@@ -208,86 +208,86 @@
 	return further.length === 0 ? first! : null;
 };
 
-const findCulprit = (ledger: CrashLedger, condemnedElsewhere: ReadonlySet<RequestFingerprint>): Suspect | undefined => {
+const findCulprit = (ledger: CrashLedger, quarantinedElsewhere: ReadonlySet<RequestFingerprint>): Suspect | undefined => {
 	const suspects = suspectsOf(ledger);
 	return suspects.find((suspect, index) => {
 		const {fingerprint, ends} = suspect;
-		return ends.length >= leastEnds && (condemnedElsewhere.has(fingerprint) || isCondemned({
+		return ends.length >= minExits && (quarantinedElsewhere.has(fingerprint) || isCrashCause({
 			ends: ends.length,
-			endsAround: countAround(ledger, suspect),
-			leads: index === 0 && (suspects[1]?.ends.length ?? 0) < ends.length,
+			nearbyExits: countNearby(ledger, suspect),
+			isMostFrequent: index === 0 && (suspects[1]?.ends.length ?? 0) < ends.length,
 			commonStage: commonStageOf(suspect),
 		}));
 	});
 };
 
-/** Puts the ends of a request down to it: for all others who were there they count no more. */
-const condemn = ({verdicts}: CrashLedger, {fingerprint, ends}: Suspect, nowMs: number): Verdict => {
-	for (const end of ends) {
-		end.culprit = fingerprint;
+/** Attributes the exits of a request to it; they no longer count against the other requests that were there. */
+const quarantine = ({verdicts}: CrashLedger, {fingerprint, ends}: Suspect, nowMs: number): Verdict => {
+	for (const exit of ends) {
+		exit.culprit = fingerprint;
 	}
 
 	const verdict: Verdict = {
-		fingerprint, sinceMs: nowMs, evidence: ends.map(({address, atMs, suspects}) => ({address, atMs, stage: suspects.get(fingerprint)!})).slice(-mostEvidence),
-		untilMs: ends.at(-1)!.atMs + verdictMs,
+		fingerprint, sinceMs: nowMs, evidence: ends.map(({address, atMs, suspects}) => ({address, atMs, stage: suspects.get(fingerprint)!})).slice(-maxEvidence),
+		untilMs: ends.at(-1)!.atMs + verdictDurationMs,
 	};
 	verdicts.set(fingerprint, verdict);
 	return verdict;
 };
 
-export type LedgerNews = {
+export type LedgerUpdate = {
 	/** Sightings that were not known before. */
 	readonly sightings: readonly CrashSighting[];
-	/** Verdicts that follow from them, new ones and such as had run out. */
+	/** Verdicts that result from them, both new and renewed. */
 	readonly verdicts: readonly Verdict[];
 };
 
 const noFingerprints: ReadonlySet<RequestFingerprint> = new Set();
 
-/** Takes sightings in, from this entry or another, and judges anew. Another entry may have had more to go by: its verdicts are taken over. */
-export const takeSightings = (ledger: CrashLedger, sightings: readonly CrashSighting[], nowMs: number, condemnedElsewhere = noFingerprints): LedgerNews => {
+/** Records sightings from this entry or another, and re-evaluates the suspects. Other entries may have had more evidence, so their verdicts are adopted. */
+export const takeSightings = (ledger: CrashLedger, sightings: readonly CrashSighting[], nowMs: number, quarantinedElsewhere = noFingerprints): LedgerUpdate => {
 	const verdicts: Verdict[] = [];
-	const news = sightings.filter(sighting => takeSighting(ledger, sighting, verdicts));
-	const isJudged = [...condemnedElsewhere].every(fingerprint => ledger.verdicts.has(fingerprint));
-	if (news.length === 0 && isJudged) {
-		return {sightings: news, verdicts: []};
+	const newSightings = sightings.filter(sighting => recordSighting(ledger, sighting, verdicts));
+	const hasAllVerdicts = [...quarantinedElsewhere].every(fingerprint => ledger.verdicts.has(fingerprint));
+	if (newSightings.length === 0 && hasAllVerdicts) {
+		return {sightings: newSightings, verdicts: []};
 	}
 
-	for (let culprit = findCulprit(ledger, condemnedElsewhere); culprit !== undefined; culprit = findCulprit(ledger, condemnedElsewhere)) {
-		verdicts.push(condemn(ledger, culprit, nowMs));
+	for (let culprit = findCulprit(ledger, quarantinedElsewhere); culprit !== undefined; culprit = findCulprit(ledger, quarantinedElsewhere)) {
+		verdicts.push(quarantine(ledger, culprit, nowMs));
 	}
 
 	pruneLedger(ledger, nowMs);
-	return {sightings: news, verdicts};
+	return {sightings: newSightings, verdicts};
 };
 
-/** Drops the evidence from before a run that ended well; lifts the verdict if too little is left. */
-const weaken = ({verdicts}: CrashLedger, {fingerprint, atMs}: Clearance): void => {
+/** Discards evidence from before a completed run; lifts the verdict if too little is left. */
+const discardClearedEvidence = ({verdicts}: CrashLedger, {fingerprint, atMs}: Clearance): void => {
 	const verdict = verdicts.get(fingerprint);
 	if (verdict === undefined) {
 		return;
 	}
 
-	const kept = verdict.evidence.filter(end => end.atMs > atMs);
+	const kept = verdict.evidence.filter(exit => exit.atMs > atMs);
 	verdict.evidence.splice(0, verdict.evidence.length, ...kept);
-	if (kept.length < leastEnds) {
+	if (kept.length < minExits) {
 		verdicts.delete(fingerprint);
 	}
 };
 
-/** A request ran to its end, so it does not end the endpoints that run it. `false` if that was known. */
+/** Records that a request ran to completion, which shows that it does not crash its endpoints; returns `false` if that was known. */
 export const clearRequest = (ledger: CrashLedger, clearance: Clearance, nowMs: number): boolean => {
 	const {fingerprint, atMs} = clearance;
-	const isNews = atMs > (ledger.clearedAtMs.get(fingerprint) ?? Number.NEGATIVE_INFINITY);
-	if (!isNews) {
+	const isNew = atMs > (ledger.clearedAtMs.get(fingerprint) ?? Number.NEGATIVE_INFINITY);
+	if (!isNew) {
 		return false;
 	}
 
 	ledger.clearedAtMs.set(fingerprint, atMs);
-	weaken(ledger, clearance);
-	for (const end of ledger.ends) {
-		if (end.atMs <= atMs && end.suspects.delete(fingerprint) && end.culprit === fingerprint) {
-			end.culprit = null;
+	discardClearedEvidence(ledger, clearance);
+	for (const exit of ledger.ends) {
+		if (exit.atMs <= atMs && exit.suspects.delete(fingerprint) && exit.culprit === fingerprint) {
+			exit.culprit = null;
 		}
 	}
 
--- a/packages/coordination/src/quarantine/judge-suspect.ts
+++ b/packages/coordination/src/quarantine/judge-suspect.ts
@@ -1,29 +1,30 @@
 import type {AnswerStage} from './broken-attempts.js';
 
-/** What speaks for and against a request that was at several endpoints when they ended. */
+/** Evidence for and against a request that was at several endpoints when they exited. */
 export type SuspectEvidence = {
-	/** Ends that it was at, without those that are put down to another request. */
+	/** Exits at which it was present, except those attributed to another request. */
 	readonly ends: number;
-	/** All unexplained ends of that time, its own among them. */
-	readonly endsAround: number;
-	/** No other request was at as many. */
-	readonly leads: boolean;
-	/** How far its answer had come, if that was the same each time, as it is with a request that ends what runs it; `null` if not. */
+	/** All unattributed exits in the same period, including its own. */
+	readonly nearbyExits: number;
+	/** Whether no other request was present at as many. */
+	readonly isMostFrequent: boolean;
+	/** The progress of its answer, if it was the same at each exit, as for a request that crashes its endpoints; otherwise `null`. */
 	readonly commonStage: AnswerStage | null;
 };
 
 /**
- * Whether the ends are a request's doing, and not its bad luck. Endpoints may end
- * one after the other for another reason, and patient callers repeat at the next
- * ones: such a request shares its count with others, or most ends are without it, and
- * it breaks at any stage of its answer. The less speaks for it, the more ends it takes.
+ * Whether a request caused the exits, or was present by coincidence. Endpoints may
+ * exit in succession for another reason, while patient callers retry at the remaining
+ * ones. Such a request is present at no more exits than others, or most exits happen
+ * without it, and its answer breaks at varying stages. The weaker the evidence, the
+ * more exits are required.
  */
-export const isCondemned = ({ends, endsAround, leads, commonStage}: SuspectEvidence): boolean => {
-	const others = endsAround - ends;
-	const alwaysBegun = commonStage === 'begun';
-	return (ends >= 3 && leads && alwaysBegun && others <= 2)
-		|| (ends >= 4 && leads && commonStage !== null && others <= 1)
-		|| (ends >= 5 && leads && others <= ends)
-		|| (ends >= 6 && alwaysBegun && others <= 3 * ends)
+export const isCrashCause = ({ends, nearbyExits, isMostFrequent, commonStage}: SuspectEvidence): boolean => {
+	const others = nearbyExits - ends;
+	const isAlwaysBegun = commonStage === 'begun';
+	return (ends >= 3 && isMostFrequent && isAlwaysBegun && others <= 2)
+		|| (ends >= 4 && isMostFrequent && commonStage !== null && others <= 1)
+		|| (ends >= 5 && isMostFrequent && others <= ends)
+		|| (ends >= 6 && isAlwaysBegun && others <= 3 * ends)
 		|| (ends >= 8 && others <= 3 * ends);
 };
--- a/packages/coordination/src/quarantine/repeated-news.ts
+++ b/packages/coordination/src/quarantine/repeated-news.ts
@@ -1,21 +1,21 @@
 import type {Clearance, CrashLedger, CrashSighting} from './crash-ledger.js';
 
-/** Told again besides verdicts: what is older has reached everybody who was in reach. */
+/** Sightings and clearances are sent again for this long; by then, they have reached all entries in reach. Verdicts are sent for as long as they are kept. */
 const recentMs = 5000;
-const mostClearances = 64;
+const maxClearances = 64;
 
-/** What an entry tells others again: the evidence of its verdicts, and what was seen of other requests lately. */
+/** What an entry sends to others repeatedly: the evidence of its verdicts and the recent sightings of other requests. */
 export const sightingsToRepeat = ({ends, verdicts}: CrashLedger, nowMs: number): CrashSighting[] => {
-	const evidence = [...verdicts.values()].flatMap(verdict => verdict.evidence.map(seen => ({fingerprint: verdict.fingerprint, ...seen})));
-	const recent = ends.filter(end => end.culprit === null && nowMs - end.atMs < recentMs)
+	const evidence = [...verdicts.values()].flatMap(verdict => verdict.evidence.map(exit => ({fingerprint: verdict.fingerprint, ...exit})));
+	const recent = ends.filter(exit => exit.culprit === null && nowMs - exit.atMs < recentMs)
 		.flatMap(({address, atMs, suspects}) => [...suspects].map(([fingerprint, stage]) => ({
 			fingerprint, address, atMs, stage,
 		})));
 	return [...evidence, ...recent];
 };
 
-/** Requests that ran to their end lately, the latest last. */
+/** Requests that recently ran to completion, the latest last. */
 export const clearancesToRepeat = ({clearedAtMs}: CrashLedger, nowMs: number): Clearance[] => [...clearedAtMs]
 	.filter(([, atMs]) => nowMs - atMs < recentMs)
 	.map(([fingerprint, atMs]) => ({fingerprint, atMs}))
-	.slice(-mostClearances);
+	.slice(-maxClearances);
--- a/packages/coordination/src/quarantine/request-fingerprint.ts
+++ b/packages/coordination/src/quarantine/request-fingerprint.ts
@@ -2,31 +2,32 @@
 import {createHash} from 'node:crypto';
 
 /**
- * Same for requests that ask the same of an endpoint for the same caller, whatever
- * their ids and headers. Begins with the outline, which is known without the body.
+ * Identical for requests with the same content from the same caller, regardless of
+ * their ids and headers. Starts with the outline, which is known without reading the
+ * body's content.
  */
 export type RequestFingerprint = string & {readonly __brand: 'RequestFingerprint'};
 
-/** What a fingerprint tells of all but the body's content; cheap to compare before a body is hashed. */
+/** The part of a fingerprint that does not depend on the body's content; cheap to compare before a body is hashed. */
 export type RequestOutline = string & {readonly __brand: 'RequestOutline'};
 
 export type FingerprintedRequest = {
 	readonly method: string;
 	readonly host: string;
-	/** With its query. */
+	/** Includes the query. */
 	readonly path: string;
-	/** Whose key it bears; `null` without one. */
+	/** The team whose key it carries; `null` without one. */
 	readonly teamName: string | null;
-	/** As read, in however many parts it came; `null` without one. */
+	/** The body as received, regardless of how it was split into parts; `null` without one. */
 	readonly body: Buffer | null;
 };
 
-/** 128 bits: nobody finds a request that shares the fingerprint of another. */
+/** 128 bits, so that no request can be found that shares the fingerprint of another. */
 const digestBytes = 16;
 const outlineDigestBytes = 6;
-/** Occurs in none of the fields. */
+/** Does not occur in any field. */
 const separator = '\n';
-const outlineEnd = '.';
+const outlineTerminator = '.';
 const noBody = '-';
 
 const digestOf = (parts: ReadonlyArray<string | Buffer>, bytes: number): string => {
@@ -38,17 +39,17 @@
 	return hash.digest().subarray(0, bytes).toString('base64url');
 };
 
-const headOf = ({method, host, path, teamName}: FingerprintedRequest): string => [method, host.toLowerCase(), path, teamName ?? '', ''].join(separator);
+const metadataOf = ({method, host, path, teamName}: FingerprintedRequest): string => [method, host.toLowerCase(), path, teamName ?? '', ''].join(separator);
 
 export const outlineOf = (request: FingerprintedRequest): RequestOutline => {
 	const size = request.body === null ? noBody : request.body.length.toString(36);
-	return `${digestOf([headOf(request)], outlineDigestBytes)}~${size}` as RequestOutline;
+	return `${digestOf([metadataOf(request)], outlineDigestBytes)}~${size}` as RequestOutline;
 };
 
 export const fingerprintOf = (request: FingerprintedRequest): RequestFingerprint => {
-	const parts = request.body === null ? [headOf(request)] : [headOf(request), request.body];
-	return `${outlineOf(request)}${outlineEnd}${digestOf(parts, digestBytes)}` as RequestFingerprint;
+	const parts = request.body === null ? [metadataOf(request)] : [metadataOf(request), request.body];
+	return `${outlineOf(request)}${outlineTerminator}${digestOf(parts, digestBytes)}` as RequestFingerprint;
 };
 
-/** The outline that a fingerprint begins with. */
-export const outlineIn = (fingerprint: RequestFingerprint): RequestOutline => fingerprint.split(outlineEnd, 1)[0] as RequestOutline;
+/** The outline that a fingerprint starts with. */
+export const outlineIn = (fingerprint: RequestFingerprint): RequestOutline => fingerprint.split(outlineTerminator, 1)[0] as RequestOutline;
--- a/packages/coordination/test/quarantine.test.ts
+++ b/packages/coordination/test/quarantine.test.ts
@@ -11,107 +11,108 @@
 	method: 'POST', host: 'a.example', path: '/draft/1', teamName: 'marshals', body: Buffer.from('write'),
 };
 
-const named = (name: string): RequestFingerprint => fingerprintOf({...request, path: `/${name}`});
+const requestNamed = (name: string): RequestFingerprint => fingerprintOf({...request, path: `/${name}`});
 
-const crashing = named('crashing');
+const crashing = requestNamed('crashing');
 
-const second = named('second');
+const second = requestNamed('second');
 
-/** `who` were at the end of the endpoint at `address`; of what ends endpoints nothing had come. */
-const end = (address: string, atMs: number, ...who: readonly RequestFingerprint[]): CrashSighting[] => who.map(fingerprint => ({
+/** Sightings of `requests` at an exit of the endpoint at `address`. The answers of crashing requests had begun without a part for the caller. */
+const exitOf = (address: string, atMs: number, ...requests: readonly RequestFingerprint[]): CrashSighting[] => requests.map(fingerprint => ({
 	fingerprint, address, atMs, stage: fingerprint === crashing || fingerprint === second ? 'begun' : 'answering',
 }));
 
 const isRefused = (ledger: CrashLedger, fingerprint: RequestFingerprint, nowMs: number): boolean => verdictOn(ledger, fingerprint, nowMs) !== null;
 
-t.test('a fingerprint tells callers, paths and bodies apart, and nothing else', async t => {
+t.test('a fingerprint distinguishes callers, paths and bodies, and nothing else', async t => {
 	const own = fingerprintOf(request);
-	t.equal(fingerprintOf({...request, host: 'A.example'}), own, 'hosts are the same in any case');
-	t.equal(fingerprintOf({...request, body: Buffer.concat([Buffer.from('wr'), Buffer.from('ite')])}), own, 'in parts');
+	t.equal(fingerprintOf({...request, host: 'A.example'}), own, 'host names are case-insensitive');
+	t.equal(fingerprintOf({...request, body: Buffer.concat([Buffer.from('wr'), Buffer.from('ite')])}), own, 'a body in several parts');
 	const others = [{teamName: 'vendors'}, {teamName: null}, {path: '/draft/1?a'}, {method: 'PUT'}, {body: Buffer.from('writf')}, {body: null}, {body: Buffer.alloc(0)}];
 	const all = [own, ...others.map(other => fingerprintOf({...request, ...other}))];
 	t.equal(new Set(all).size, all.length);
-	t.ok(all.every(fingerprint => fingerprint.length < 64), 'bytes of an entry of the table do not grow with the request');
+	t.ok(all.every(fingerprint => fingerprint.length < 64), 'the size of a record in the ledger does not grow with the request');
 	t.equal(outlineIn(own), outlineOf(request));
-	t.equal(outlineOf({...request, body: Buffer.from('WRITE')}), outlineOf(request), 'the outline needs no hash of the body');
+	t.equal(outlineOf({...request, body: Buffer.from('WRITE')}), outlineOf(request), 'the outline does not depend on the content of the body');
 });
 
-t.test('three ends condemn the one request that was at all of them', async t => {
+t.test('three exits quarantine the one request that was at all of them', async t => {
 	const ledger = createCrashLedger();
-	takeSightings(ledger, end('e1', 0, crashing, named('a'), named('b')), 0);
-	takeSightings(ledger, end('e2', 100, crashing, named('c'), named('a')), 100);
-	t.notOk(isRefused(ledger, crashing, 100), 'two ends are chance');
-	t.same(takeSightings(ledger, end('e3', 200, named('d'), crashing), 200).verdicts.map(({fingerprint}) => fingerprint), [crashing]);
+	takeSightings(ledger, exitOf('e1', 0, crashing, requestNamed('a'), requestNamed('b')), 0);
+	takeSightings(ledger, exitOf('e2', 100, crashing, requestNamed('c'), requestNamed('a')), 100);
+	t.notOk(isRefused(ledger, crashing, 100), 'two exits may be coincidence');
+	t.same(takeSightings(ledger, exitOf('e3', 200, requestNamed('d'), crashing), 200).verdicts.map(({fingerprint}) => fingerprint), [crashing]);
 	for (const innocent of ['a', 'b', 'c', 'd']) {
-		t.notOk(isRefused(ledger, named(innocent), 200), innocent);
+		t.notOk(isRefused(ledger, requestNamed(innocent), 200), innocent);
 	}
 });
 
-t.test('what entries saw of one end counts once', async t => {
+t.test('sightings of one exit by several entries count once', async t => {
 	const ledger = createCrashLedger();
 	for (const atMs of [0, 40, 90]) {
-		takeSightings(ledger, end('e1', atMs, crashing), atMs);
+		takeSightings(ledger, exitOf('e1', atMs, crashing), atMs);
 	}
 
 	t.equal(ledger.ends.length, 1);
-	takeSightings(ledger, end('e1', 700, crashing), 700);
-	t.equal(ledger.ends.length, 2, 'its next start is another end');
+	takeSightings(ledger, exitOf('e1', 700, crashing), 700);
+	t.equal(ledger.ends.length, 2, 'the exit of its next start is another one');
 });
 
-// A rack dies endpoint by endpoint, and the same patient callers repeat at the next.
-t.test('callers that were at three ends of another cause are not refused', async t => {
+// Guards against blaming callers when the endpoints of a rack fail one by one and the
+// same patient callers retry at the next one.
+t.test('callers at several exits with another cause are not refused', async t => {
 	const ledger = createCrashLedger();
-	const callers = ['a', 'b', 'c', 'd', 'e', 'f'].map(name => named(name));
+	const callers = ['a', 'b', 'c', 'd', 'e', 'f'].map(name => requestNamed(name));
 	for (const [index, address] of ['e1', 'e2', 'e3', 'e4'].entries()) {
-		takeSightings(ledger, end(address, index * 100, ...callers), index * 100);
+		takeSightings(ledger, exitOf(address, index * 100, ...callers), index * 100);
 	}
 
 	t.same(callers.filter(caller => isRefused(ledger, caller, 400)), []);
 });
 
-t.test('one caller at three of eight ends is not refused', async t => {
+t.test('a caller at three of eight exits is not refused', async t => {
 	const ledger = createCrashLedger();
 	for (let index = 0; index < 8; index++) {
-		takeSightings(ledger, end(`e${index}`, index * 100, named(`n${index}`), ...(index % 3 === 0 ? [named('unlucky')] : [])), index * 100);
+		takeSightings(ledger, exitOf(`e${index}`, index * 100, requestNamed(`n${index}`), ...(index % 3 === 0 ? [requestNamed('unlucky')] : [])), index * 100);
 	}
 
-	t.notOk(isRefused(ledger, named('unlucky'), 800));
+	t.notOk(isRefused(ledger, requestNamed('unlucky'), 800));
 });
 
-// Where a request breaks at any stage of its answer, three ends are not enough.
-t.test('a request that breaks off in the middle of its answers takes four ends', async t => {
+// Three exits are not enough for a request whose answer breaks at varying stages.
+t.test('a request that breaks in the middle of its answer takes four exits', async t => {
 	const ledger = createCrashLedger();
 	for (const [index, address] of ['e1', 'e2', 'e3', 'e4'].entries()) {
-		t.notOk(isRefused(ledger, named('midway'), index * 100));
-		takeSightings(ledger, end(address, index * 100, named('midway'), named(`n${index}`)), index * 100);
+		t.notOk(isRefused(ledger, requestNamed('midway'), index * 100));
+		takeSightings(ledger, exitOf(address, index * 100, requestNamed('midway'), requestNamed(`n${index}`)), index * 100);
 	}
 
-	t.ok(isRefused(ledger, named('midway'), 400));
+	t.ok(isRefused(ledger, requestNamed('midway'), 400));
 });
 
-t.test('copies that waited behind the one that ended an endpoint do not blur it', async t => {
+t.test('copies that waited behind the one that crashed an endpoint do not hide it', async t => {
 	const ledger = createCrashLedger();
 	for (const [index, address] of ['e1', 'e2', 'e3'].entries()) {
-		const [sighting] = end(address, index * 100, crashing);
+		const [sighting] = exitOf(address, index * 100, crashing);
 		takeSightings(ledger, [{...sighting!, stage: 'waiting'}, sighting!, {...sighting!, stage: 'waiting'}], index * 100);
 	}
 
 	t.ok(isRefused(ledger, crashing, 300));
 });
 
-t.test('a verdict of another entry is taken over with three ends of evidence', async t => {
+t.test('a verdict of another entry is adopted with three exits as evidence', async t => {
 	const ledger = createCrashLedger();
-	const crowd = Array.from({length: 9}, (_, index) => end(`n${index}`, index * 100, named(`n${index}`))).flat();
-	takeSightings(ledger, [...crowd, ...end('e1', 100, crashing), ...end('e2', 500, crashing)], 900, new Set([crashing]));
-	t.notOk(isRefused(ledger, crashing, 900), 'its evidence is not whole yet');
-	takeSightings(ledger, end('e3', 800, crashing), 900);
-	t.notOk(isRefused(ledger, crashing, 900), 'here alone it does not stand out');
+	const unrelated = Array.from({length: 9}, (_, index) => exitOf(`n${index}`, index * 100, requestNamed(`n${index}`))).flat();
+	takeSightings(ledger, [...unrelated, ...exitOf('e1', 100, crashing), ...exitOf('e2', 500, crashing)], 900, new Set([crashing]));
+	t.notOk(isRefused(ledger, crashing, 900), 'its evidence is not complete yet');
+	takeSightings(ledger, exitOf('e3', 800, crashing), 900);
+	t.notOk(isRefused(ledger, crashing, 900), 'it does not stand out by the evidence here alone');
 	takeSightings(ledger, [], 900, new Set([crashing]));
 	t.ok(isRefused(ledger, crashing, 900));
 });
 
-// Eight endpoints end in turn, and callers of four tries each are sent to others.
-t.test('of the patient callers of a rack that dies none is refused, in a hundred series', async t => {
+// Eight endpoints exit in turn, and callers with four tries each are sent to others.
+t.test('no patient caller is refused when a rack fails, in a hundred random series', async t => {
 	let refused = 0;
 	for (let seed = 1; seed <= 100; seed++) {
 		const random = createRandom(seed);
@@ -121,7 +122,7 @@
 		for (let index = 0; index < 8; index++) {
 			const taken = callers.filter(({at}) => at === index);
 			takeSightings(ledger, taken.map(({name}) => ({
-				fingerprint: named(name), address: `e${index}`, atMs: index * 100, stage: stages[random.between(0, 4)]!,
+				fingerprint: requestNamed(name), address: `e${index}`, atMs: index * 100, stage: stages[random.between(0, 4)]!,
 			})), index * 100);
 			for (const caller of taken) {
 				caller.tries++;
@@ -135,72 +136,72 @@
 	t.equal(refused, 0);
 });
 
-t.test('ends that are put down to one request count against nobody else', async t => {
+t.test('exits that are attributed to one request do not count against others', async t => {
 	const ledger = createCrashLedger();
 	for (let index = 0; index < 6; index++) {
-		takeSightings(ledger, end(`e${index}`, index * 100, crashing, ...(index > 2 ? [named('neighbour')] : [])), index * 100);
+		takeSightings(ledger, exitOf(`e${index}`, index * 100, crashing, ...(index > 2 ? [requestNamed('neighbour')] : [])), index * 100);
 	}
 
 	t.ok(isRefused(ledger, crashing, 600));
-	t.notOk(isRefused(ledger, named('neighbour'), 600));
+	t.notOk(isRefused(ledger, requestNamed('neighbour'), 600));
 });
 
-t.test('two crashing requests among each other are both found', async t => {
+t.test('two crashing requests at alternating exits are both found', async t => {
 	const ledger = createCrashLedger();
 	for (let index = 0; index < 12; index++) {
-		takeSightings(ledger, end(`e${index}`, index * 100, index % 2 === 0 ? crashing : second, named(`n${index}`)), index * 100);
+		takeSightings(ledger, exitOf(`e${index}`, index * 100, index % 2 === 0 ? crashing : second, requestNamed(`n${index}`)), index * 100);
 	}
 
 	t.ok(isRefused(ledger, crashing, 1200));
 	t.ok(isRefused(ledger, second, 1200));
 });
 
-t.test('a request that runs to its end is innocent, and stays so when old news come again', async t => {
+t.test('a request that runs to completion is cleared, and stays so when old sightings arrive again', async t => {
 	const ledger = createCrashLedger();
-	const old = [...end('e1', 0, crashing), ...end('e2', 100, crashing)];
+	const old = [...exitOf('e1', 0, crashing), ...exitOf('e2', 100, crashing)];
 	takeSightings(ledger, old, 100);
 	clearRequest(ledger, {fingerprint: crashing, atMs: 150}, 150);
-	takeSightings(ledger, [...old, ...end('e3', 200, crashing)], 200);
+	takeSightings(ledger, [...old, ...exitOf('e3', 200, crashing)], 200);
 	t.notOk(isRefused(ledger, crashing, 200));
-	takeSightings(ledger, [...end('e4', 300, crashing), ...end('e5', 400, crashing)], 400);
-	t.ok(isRefused(ledger, crashing, 400), 'three ends behind it count anew');
+	takeSightings(ledger, [...exitOf('e4', 300, crashing), ...exitOf('e5', 400, crashing)], 400);
+	t.ok(isRefused(ledger, crashing, 400), 'three later exits count again');
 	clearRequest(ledger, {fingerprint: crashing, atMs: 100}, 500);
-	t.ok(isRefused(ledger, crashing, 500), 'a run from before the ends proves nothing');
+	t.ok(isRefused(ledger, crashing, 500), 'a run from before the exits proves nothing');
 	clearRequest(ledger, {fingerprint: crashing, atMs: 450}, 500);
 	t.notOk(isRefused(ledger, crashing, 500));
 });
 
-t.test('a verdict ends, and one that goes on ending endpoints is longer in force', async t => {
+t.test('a verdict expires, and is extended while the request keeps crashing endpoints', async t => {
 	const ledger = createCrashLedger();
-	takeSightings(ledger, [...end('e1', 0, crashing), ...end('e2', 100, crashing), ...end('e3', 200, crashing)], 200);
+	takeSightings(ledger, [...exitOf('e1', 0, crashing), ...exitOf('e2', 100, crashing), ...exitOf('e3', 200, crashing)], 200);
 	const {untilMs} = verdictOn(ledger, crashing, 200)!;
-	takeSightings(ledger, end('e4', 5000, crashing), 5000);
+	takeSightings(ledger, exitOf('e4', 5000, crashing), 5000);
 	t.equal(verdictOn(ledger, crashing, 5000)!.untilMs, untilMs + 4800);
-	t.notOk(isRefused(ledger, crashing, untilMs + 4800), 'a mended endpoint gets its try');
-	const renewed = takeSightings(ledger, end('e5', untilMs + 10_000, crashing), untilMs + 10_000);
-	t.same(renewed.verdicts.map(({fingerprint}) => fingerprint), [crashing], 'one more end is enough then');
+	t.notOk(isRefused(ledger, crashing, untilMs + 4800), 'a repaired endpoint is tried again');
+	const renewed = takeSightings(ledger, exitOf('e5', untilMs + 10_000, crashing), untilMs + 10_000);
+	t.same(renewed.verdicts.map(({fingerprint}) => fingerprint), [crashing], 'one more exit is enough then');
 	t.ok(isRefused(ledger, crashing, untilMs + 20_000));
 	pruneLedger(ledger, untilMs + 10_000_000);
-	t.same([ledger.ends.length, ledger.verdicts.size, mayBeKnown(ledger, outlineIn(crashing))], [0, 0, false], 'and nothing is left of it');
+	t.same([ledger.ends.length, ledger.verdicts.size, mayBeKnown(ledger, outlineIn(crashing))], [0, 0, false], 'no record of it is left');
 });
 
-t.test('a flood of other requests neither grows the table nor pushes a verdict out', async t => {
+t.test('a flood of other requests neither grows the ledger beyond its limit nor evicts a verdict', async t => {
 	const ledger = createCrashLedger();
-	takeSightings(ledger, [...end('e1', 0, crashing), ...end('e2', 100, crashing), ...end('e3', 200, crashing)], 200);
+	takeSightings(ledger, [...exitOf('e1', 0, crashing), ...exitOf('e2', 100, crashing), ...exitOf('e3', 200, crashing)], 200);
 	for (let index = 0; index < 1000; index++) {
-		takeSightings(ledger, end(`f${index}`, 1000 + index, ...Array.from({length: 5}, (_, caller) => named(`flood-${index}-${caller}`))), 1000 + index);
+		takeSightings(ledger, exitOf(`f${index}`, 1000 + index, ...Array.from({length: 5}, (_, caller) => requestNamed(`flood-${index}-${caller}`))), 1000 + index);
 	}
 
 	t.ok(isRefused(ledger, crashing, 3000));
-	t.ok(ledger.ends.length <= 256, `${ledger.ends.length} ends`);
+	t.ok(ledger.ends.length <= 256, `${ledger.ends.length} exits`);
 	t.equal(ledger.verdicts.size, 1);
 });
 
-t.test('all entries come to the same verdict, in whatever order and however often they hear', async t => {
-	const sightings = Array.from({length: 5}, (_, index) => end(`e${index}`, index * 700, crashing, named(`n${index}`), named(`m${index}`))).flat();
-	fc.assert(fc.property(fc.shuffledSubarray(sightings, {minLength: sightings.length}), fc.array(fc.nat({max: sightings.length - 1}), {maxLength: 20}), (order, again) => {
+t.test('all entries reach the same verdict, in whatever order and however often they receive the sightings', async t => {
+	const sightings = Array.from({length: 5}, (_, index) => exitOf(`e${index}`, index * 700, crashing, requestNamed(`n${index}`), requestNamed(`m${index}`))).flat();
+	fc.assert(fc.property(fc.shuffledSubarray(sightings, {minLength: sightings.length}), fc.array(fc.nat({max: sightings.length - 1}), {maxLength: 20}), (order, repeated) => {
 		const ledger = createCrashLedger();
-		for (const sighting of [...order, ...again.map(index => sightings[index]!)]) {
+		for (const sighting of [...order, ...repeated.map(index => sightings[index]!)]) {
 			takeSightings(ledger, [sighting], 4000);
 		}
 
@@ -208,17 +209,17 @@
 	}), {seed: 28});
 });
 
-t.test('a connection that ends is a crash only if its endpoint ends', async t => {
+t.test('an ended connection is a crash only if its endpoint exits', async t => {
 	const state = createBrokenAttempts();
 	const broken = (atMs: number): CrashSighting => ({
 		fingerprint: crashing, address: 'e1', atMs, stage: 'waiting',
 	});
 	t.notOk(noteBroken(state, broken(0)));
-	t.same(confirmEnded(state, 'e2', 50), [], 'another endpoint ended');
+	t.same(confirmEnded(state, 'e2', 50), [], 'another endpoint exited');
 	t.same(confirmEnded(state, 'e1', 100), [broken(0)]);
-	t.same(confirmEnded(state, 'e1', 150), [], 'once only');
-	t.ok(noteBroken(state, broken(200)), 'an end that is known takes along what breaks behind it');
+	t.same(confirmEnded(state, 'e1', 150), [], 'each attempt is returned only once');
+	t.ok(noteBroken(state, broken(200)), 'an attempt that breaks just after a confirmed exit is attributed to it');
 	t.same(confirmRestarted(state, 'e1', 3000), []);
-	t.notOk(noteBroken(state, broken(3100)), 'the next start has not ended');
-	t.same(confirmEnded(state, 'e1', 6000), [], 'an end long after is another matter');
+	t.notOk(noteBroken(state, broken(3100)), 'the next start has not exited');
+	t.same(confirmEnded(state, 'e1', 6000), [], 'an exit long after is unrelated');
 });
