--- a/packages/gateway/src/core/core-identity.ts
+++ b/packages/gateway/src/core/core-identity.ts
@@ -7,7 +7,7 @@
 
 const identitySchema = z.object({
 	diskId: z.string(),
-	/** Hosts of the first voters; empty for a host that was added later. */
+	/** Addresses of the first voters; empty for a host that was added later. */
 	firstVoters: z.array(z.string()),
 });
 
@@ -17,12 +17,12 @@
 	readonly selfAddress: string;
 	/** `null`: the host has no disk. */
 	readonly folder: string | null;
-	/** The whole system starts for the first time, with empty disks. */
+	/** Whether the whole system starts for the first time, with empty disks. */
 	readonly isFirstStart: boolean;
 	readonly seeds: readonly string[];
 };
 
-/** The disk of a host at the very first start: all first voters can name each other without a word. */
+/** Fixed disk id for the first start of the system, so that the first voters can derive each other's member ids without exchanging messages. */
 const firstDiskId = 'first';
 
 const newDiskId = (): string => randomUUID().slice(0, 8);
@@ -40,12 +40,12 @@
 };
 
 /**
- * Reads which member of the log this host is, or decides it for an empty disk.
- * A host whose disk was lost must not vote under its old name: it may have
- * voted in this term, and no longer holds what it was counted for. Only at the
- * first start of the whole system are the seeds voters by themselves; any other
- * empty disk is a new member, which the leader takes in. So the first voters
- * need not all be up to form a group: any majority of them will do.
+ * Reads this host's member id in the log, or creates one for an empty disk.
+ * A host whose disk was lost must not vote under its old id: it may already have
+ * voted in this term, and it no longer holds the entries that it acknowledged. Only
+ * at the first start of the whole system do the seeds become voters on their own; any
+ * other empty disk makes a new member, which the leader adds. The first voters
+ * therefore need not all be up to form a group: any majority of them suffices.
  *
  * A host without a disk is a new member at each start, and never a first voter.
  */
--- a/packages/gateway/src/core/core-node.ts
+++ b/packages/gateway/src/core/core-node.ts
@@ -13,58 +13,58 @@
 	type Follower, type Roster, type SubmitOutcome, type WatchParameters, type WatchResult,
 } from '../link/methods.js';
 import {createDocumentLog} from './document-log.js';
-import {createFollowers, rosterAgeMs} from './followers.js';
-import {createPermitDesk} from './permit-desk.js';
-import {createWatchDesk} from './watch-desk.js';
+import {createFollowers, rosterCacheMs} from './followers.js';
+import {createPermitService} from './permit-desk.js';
+import {createWatchService} from './watch-desk.js';
 
 export type CoreNodeOptions = {
-	/** Where other processes of the system reach this one; also its name among core hosts. */
+	/** Address at which other processes of the system reach this one; it also identifies this host among core hosts. */
 	readonly selfAddress: string;
 	readonly zoneId: string;
 	readonly regionId: string;
-	/** Where the log is kept; `null`: the host has no disk, and only follows the log. */
+	/** Folder of the log; `null` if the host has no disk and only follows the log. */
 	readonly folder: string | null;
-	/** The whole system starts for the first time, with empty disks. */
+	/** Whether the whole system starts for the first time, with empty disks. */
 	readonly isFirstStart: boolean;
 	seeds(): readonly string[];
-	/** Core hosts that may be lost at once. */
+	/** Number of core hosts that may fail at the same time. */
 	readonly lossesBorne: number;
 	readonly clock: Clock;
 	readonly logger: Logger;
 };
 
-/** `unknown`: nobody confirmed it in time; it may be in force later. */
+/** `unknown`: not confirmed in time; the document may still come into force later. */
 export type SubmitResult = SubmitOutcome | 'unknown';
 
-/** `unsure`: this host cannot tell which configuration is the newest. */
+/** `unsure`: this host cannot determine which configuration is the newest. */
 export type ReadConfiguration = {readonly type: 'text'; readonly text: string} | {readonly type: 'none'} | {readonly type: 'unsure'; readonly reason: string};
 
 export type CoreNode = {
 	submit(document: Document): Promise<SubmitResult>;
 	read(): Promise<ReadConfiguration>;
-	/** `true` if it was taken, or a later one was. */
+	/** Records an endpoint's announcement. */
 	announce(announcement: Announcement): void;
-	/** An endpoint has left; `startedAtMs` tells which start of it, `null` if it did not say. */
+	/** Records that an endpoint has left; `startedAtMs` identifies its start, `null` if it sent none. */
 	withdraw(id: string, startedAtMs: number | null): void;
 	isLeader(): boolean;
-	/** Graceful: hands the leadership over first. */
+	/** Stops gracefully: transfers leadership first. */
 	stop(): Promise<void>;
 	close(): Promise<void>;
 };
 
-/** Operators move on after a second; a document must be confirmed, or given up on, before. */
+/** Operators' clients time out after 1 s; a document must be confirmed or reported as unknown before that. */
 const forwardTimeoutMs = 900;
-const pruneMs = 5000;
-/** How long to look for a leader before an operator is sent elsewhere: an election takes 0.6 to 1.2 s. */
+const pruneIntervalMs = 5000;
+/** Time to wait for a leader before an operator's call fails and must go to another host: an election takes 0.6 to 1.2 s. */
 const leaderWaitMs = 700;
-const leaderPollMs = 25;
+const leaderPollIntervalMs = 25;
 
 const notLeader = (): RpcError => new RpcError(rpcErrorCodes.notLeader, 'this core host does not lead');
 
-/** For what endpoints and followers say: only the log's leases must count the time that a host was suspended. */
+/** Monotonic clock for announcements and followers; only the log's leases must also count the time that a host was suspended. */
 const steadyNowMs = (): number => performance.now();
 
-/** One core host: its part of the document log, what endpoints announced to it, and whoever follows it. */
+/** One core host: its replica of the document log, the endpoint announcements and its followers. */
 export const createCoreNode = async (options: CoreNodeOptions): Promise<CoreNode> => {
 	const {
 		selfAddress, zoneId, regionId, folder, isFirstStart, seeds, lossesBorne, clock, logger,
@@ -75,31 +75,31 @@
 	};
 	const registry = createRegistry();
 	const followers = createFollowers();
-	const permits = createPermitDesk({
+	const permitService = createPermitService({
 		engineCount: serviceName => [...registry.entries.values()].filter(({announcement}) => announcement.serviceName === serviceName && announcement.state === 'ready').length,
 		nowMs: steadyNowMs,
 	});
-	const versionsKnownAtMs = new Map<string, {version: number; atMs: number}>();
+	const versionsLearnedAtMs = new Map<string, {version: number; atMs: number}>();
 	let client: CoreClient | null = null;
 
 	const otherAddresses = (): string[] => [...new Set([...seeds(), ...log.memberAddresses(), ...client?.addresses() ?? []])].filter(address => address !== selfAddress);
 
-	const noteVersions = (): void => {
+	const recordVersions = (): void => {
 		for (const [model, version] of Object.entries(log.state().versions)) {
-			if (versionsKnownAtMs.get(model)?.version !== version) {
-				versionsKnownAtMs.set(model, {version, atMs: steadyNowMs()});
+			if (versionsLearnedAtMs.get(model)?.version !== version) {
+				versionsLearnedAtMs.set(model, {version, atMs: steadyNowMs()});
 			}
 		}
 	};
 
 	const log = await createDocumentLog({
 		selfAddress, folder, isFirstStart, seeds, clock, logger, otherAddresses,
-		// An odd number, of which the losses are a minority.
+		// An odd number of which the tolerated losses are a minority.
 		voterCount: (2 * lossesBorne) + 1,
 		onChange() {
 			setImmediate(() => {
-				noteVersions();
-				desk.wake();
+				recordVersions();
+				watchService.wake();
 			});
 		},
 	});
@@ -109,41 +109,41 @@
 	const configurationNumber = (): number => log.state().configuration?.number ?? -1;
 
 	/**
-	 * Core hosts that processes should follow. One without a disk is left out: each
-	 * follower keeps a question open at each of them, and it knows nothing sooner than
-	 * those that it follows itself.
+	 * Core hosts that processes should follow. Hosts without a disk are left out: each
+	 * follower keeps a long poll open at every listed host, and a host without a disk
+	 * receives updates no sooner than the hosts that it follows itself.
 	 */
-	const followable = (): string[] => [...new Set([...folder === null ? [] : [selfAddress], ...log.diskAddresses()])];
+	const followableAddresses = (): string[] => [...new Set([...folder === null ? [] : [selfAddress], ...log.diskAddresses()])];
 
-	const rosterOf = (follower: Follower): Roster => followers.roster(follower, followable(), steadyNowMs());
+	const rosterOf = (follower: Follower): Roster => followers.roster(follower, followableAddresses(), steadyNowMs());
 
-	const isRosterNews = ({follower, rosterHash}: WatchParameters): boolean => rosterHash !== null && rosterOf(follower).hash !== rosterHash;
+	const hasRosterUpdate = ({follower, rosterHash}: WatchParameters): boolean => rosterHash !== null && rosterOf(follower).hash !== rosterHash;
 
 	const answer = (parameters: WatchParameters): WatchResult => {
 		const nowMs = steadyNowMs();
-		// Also those that were named before this process started, which no change tells of.
-		noteVersions();
-		followers.note(parameters.follower, nowMs);
+		// Includes versions named before this process started, for which no change event arrives.
+		recordVersions();
+		followers.record(parameters.follower, nowMs);
 		return {
 			epoch, position: registry.position,
 			zoneId,
 			announcements: parameters.follower.role === 'agent' ? [] : announcedSince(registry, parameters.epoch === epoch ? parameters.position : 0, nowMs),
 			configurationNumber: configurationNumber(), versionsHash: versionsHash(),
 			freshAgeMs: log.freshAgeMs(),
-			versions: [...versionsKnownAtMs].map(([model, {version, atMs}]) => ({model, version, ageMs: nowMs - atMs})),
-			roster: isRosterNews(parameters) ? rosterOf(parameters.follower) : null,
+			versions: [...versionsLearnedAtMs].map(([model, {version, atMs}]) => ({model, version, ageMs: nowMs - atMs})),
+			roster: hasRosterUpdate(parameters) ? rosterOf(parameters.follower) : null,
 		};
 	};
 
-	const desk = createWatchDesk({
+	const watchService = createWatchService({
 		answer,
-		isNews: parameters => parameters.epoch !== epoch || parameters.versionsHash !== versionsHash()
+		hasUpdate: parameters => parameters.epoch !== epoch || parameters.versionsHash !== versionsHash()
 			|| (parameters.follower.role !== 'agent' && registry.urgentPosition > parameters.position)
 			|| (parameters.follower.role === 'entry' && parameters.configurationNumber < configurationNumber())
-			|| isRosterNews(parameters),
+			|| hasRosterUpdate(parameters),
 	});
 
-	const submitHere = async (document: Document): Promise<SubmitOutcome> => {
+	const submitLocally = async (document: Document): Promise<SubmitOutcome> => {
 		if (!log.isLeader()) {
 			throw notLeader();
 		}
@@ -151,7 +151,7 @@
 		return log.propose(document);
 	};
 
-	const readHere = async (): Promise<string | null> => {
+	const readLocally = async (): Promise<string | null> => {
 		if (!log.isLeader()) {
 			throw notLeader();
 		}
@@ -160,22 +160,22 @@
 		return log.state().configuration?.text ?? null;
 	};
 
-	/** Asks the leader, wherever it is; looks for one for a moment if there is none. */
-	const atLeader = async <Result>(here: () => Promise<Result>, there: (address: string) => Promise<Result>): Promise<Result> => {
-		const giveUpAtMs = performance.now() + leaderWaitMs;
+	/** Runs a call at the leader, local or remote, and waits briefly for an election if there is none. */
+	const callLeader = async <Result>(locally: () => Promise<Result>, remotely: (address: string) => Promise<Result>): Promise<Result> => {
+		const deadlineAtMs = performance.now() + leaderWaitMs;
 		for (;;) {
 			try {
 				const address = log.leaderAddress();
-				return await (log.isLeader() || address === null ? here() : there(address));
+				return await (log.isLeader() || address === null ? locally() : remotely(address));
 			} catch (error) {
-				const isOther = (error as {code?: number}).code !== rpcErrorCodes.notLeader;
-				if (isOther || performance.now() > giveUpAtMs) {
+				const isOtherError = (error as {code?: number}).code !== rpcErrorCodes.notLeader;
+				if (isOtherError || performance.now() > deadlineAtMs) {
 					throw error;
 				}
 			}
 
 			await new Promise(resolve => {
-				setTimeout(resolve, leaderPollMs);
+				setTimeout(resolve, leaderPollIntervalMs);
 			});
 		}
 	};
@@ -187,15 +187,15 @@
 		}
 	});
 	rpc.method('control.standby', standbyParametersSchema, ({memberId}) => {
-		log.hearStandby(memberId);
+		log.recordStandby(memberId);
 	});
-	rpc.method('gateway.watch', watchParametersSchema, async parameters => desk.watch(parameters));
+	rpc.method('gateway.watch', watchParametersSchema, async parameters => watchService.watch(parameters));
 	rpc.method('gateway.configuration', readParametersSchema, () => log.state().configuration);
-	rpc.method('gateway.submit', submitParametersSchema, async ({document}) => ({outcome: await submitHere(document)}));
-	rpc.method('gateway.read', readParametersSchema, async () => ({text: await readHere()}));
+	rpc.method('gateway.submit', submitParametersSchema, async ({document}) => ({outcome: await submitLocally(document)}));
+	rpc.method('gateway.read', readParametersSchema, async () => ({text: await readLocally()}));
 	rpc.method('gateway.permit', permitParametersSchema, async ({agentAddress, serviceName, isDone}) => {
 		if (isDone) {
-			permits.giveBack(agentAddress);
+			permitService.releasePermit(agentAddress);
 			return {isGranted: false};
 		}
 
@@ -203,7 +203,7 @@
 			throw notLeader();
 		}
 
-		return {isGranted: await permits.ask(agentAddress, serviceName)};
+		return {isGranted: await permitService.requestPermit(agentAddress, serviceName)};
 	});
 
 	const server: HttpServer = await createHttpServer({
@@ -217,34 +217,34 @@
 		onConfiguration: () => undefined,
 		seeds: () => [...seeds(), ...log.memberAddresses()],
 		onResult(result) {
-			let isNews = false;
+			let hasUpdate = false;
 			for (const announcement of result.announcements) {
-				isNews = hearAnnounced(registry, announcement, steadyNowMs(), 'host') || isNews;
+				hasUpdate = hearAnnounced(registry, announcement, steadyNowMs(), 'host') || hasUpdate;
 			}
 
-			if (isNews) {
-				noteVersions();
-				desk.wake();
+			if (hasUpdate) {
+				recordVersions();
+				watchService.wake();
 			}
 		},
 	});
-	const pruning = setInterval(() => {
+	const pruneTimer = setInterval(() => {
 		pruneRegistry(registry, steadyNowMs());
-	}, pruneMs);
-	const telling = setInterval(() => {
-		// A roster may be too young to be made anew at this turn: then it is at the next. Told of it only by its
-		// next question, an agent would leave an entry that has just come without reports for four seconds.
+	}, pruneIntervalMs);
+	const rosterTimer = setInterval(() => {
+		// A roster that is too young to be rebuilt now is rebuilt at the next tick. If agents learned of it only at
+		// their next poll, an entry that has just joined would get no reports from them for up to four seconds.
 		if (followers.isStale()) {
-			desk.wake();
+			watchService.wake();
 		}
-	}, rosterAgeMs);
+	}, rosterCacheMs);
 
 	const close = async (): Promise<void> => {
-		clearInterval(pruning);
-		clearInterval(telling);
+		clearInterval(pruneTimer);
+		clearInterval(rosterTimer);
 		client?.close();
-		desk.close();
-		permits.close();
+		watchService.close();
+		permitService.close();
 		server.destroy();
 		await log.close();
 	};
@@ -252,11 +252,11 @@
 	return {
 		async submit(document) {
 			try {
-				const outcome = await atLeader(async () => submitHere(document), async address => {
-					const answered = await callRpc<unknown>({
+				const outcome = await callLeader(async () => submitLocally(document), async address => {
+					const response = await callRpc<unknown>({
 						address, method: 'gateway.submit', params: {document}, isPacked: true, timeoutMs: forwardTimeoutMs,
 					});
-					return submitResultSchema.parse(answered).outcome;
+					return submitResultSchema.parse(response).outcome;
 				});
 				logger.event('BP4007', {kind: document.kind, number: document.kind === 'configuration' ? document.number : document.version, outcome});
 				return outcome;
@@ -267,11 +267,11 @@
 		},
 		async read() {
 			try {
-				const text = await atLeader(readHere, async address => {
-					const answered = await callRpc<unknown>({
+				const text = await callLeader(readLocally, async address => {
+					const response = await callRpc<unknown>({
 						address, method: 'gateway.read', params: {}, isPacked: true, timeoutMs: forwardTimeoutMs,
 					});
-					return readResultSchema.parse(answered).text;
+					return readResultSchema.parse(response).text;
 				});
 				return text === null ? {type: 'none'} : {type: 'text', text};
 			} catch (error) {
@@ -280,21 +280,21 @@
 		},
 		announce(announcement) {
 			const known = registry.entries.get(announcement.id)?.announcement;
-			const isTaken = hearAnnounced(registry, {...announcement, ageMs: 0}, steadyNowMs());
-			if (isTaken && (known?.state !== announcement.state || isLaterStart(known, announcement))) {
+			const isAccepted = hearAnnounced(registry, {...announcement, ageMs: 0}, steadyNowMs());
+			if (isAccepted && (known?.state !== announcement.state || isLaterStart(known, announcement))) {
 				logger.event('BP4009', {
 					endpointId: announcement.id, address: announcement.address, state: announcement.state, startedAtMs: announcement.startedAtMs, sequence: announcement.sequence,
 				});
 			}
 
-			desk.wake();
+			watchService.wake();
 		},
 		withdraw(id, startedAtMs) {
 			if (withdraw(registry, id, startedAtMs)) {
 				logger.event('BP4009', {endpointId: id, state: 'gone'});
 			}
 
-			desk.wake();
+			watchService.wake();
 		},
 		isLeader: log.isLeader,
 		async stop() {
--- a/packages/gateway/src/core/document-log.ts
+++ b/packages/gateway/src/core/document-log.ts
@@ -15,52 +15,52 @@
 
 export type DocumentLogOptions = {
 	readonly selfAddress: string;
-	/** `null`: the host has no disk, and keeps the log in memory as a learner. */
+	/** `null` if the host has no disk and keeps the log in memory as a learner. */
 	readonly folder: string | null;
 	readonly isFirstStart: boolean;
 	seeds(): readonly string[];
-	/** Other core hosts that are known, seeds included. */
+	/** All other known core hosts, including seeds. */
 	otherAddresses(): string[];
 	readonly voterCount: number;
 	readonly clock: Clock;
 	readonly logger: Logger;
-	/** The documents changed, or whether this host may answer for them. */
+	/** Called when the documents change or when this host gains or loses the ability to serve them. */
 	onChange(): void;
 };
 
-/** The replicated log of documents, as one core host holds it. */
+/** One core host's replica of the document log. */
 export type DocumentLog = {
 	state(): DocumentState;
 	isLeader(): boolean;
-	/** Address of the leader, if there is another one. */
+	/** Address of the leader; `null` if there is none or this host leads. */
 	leaderAddress(): string | null;
 	/** Addresses of the hosts in the log's membership. */
 	memberAddresses(): string[];
-	/** Of these, the ones that keep the log on a disk. */
+	/** Addresses of the members that store the log on disk. */
 	diskAddresses(): string[];
-	/** Puts a document in order; rejects if this host does not lead or no majority confirms in time. */
+	/** Appends a document to the log; rejects if this host does not lead or no majority confirms in time. */
 	propose(document: Document): Promise<DocumentOutcome>;
-	/** Resolves once a majority has confirmed that this host still leads and holds all that was acknowledged. */
+	/** Resolves once a majority has confirmed that this host still leads and holds all acknowledged documents. */
 	confirm(): Promise<void>;
-	/** How long ago this host surely held all that was acknowledged; `null` if it never did. */
+	/** Time since this host was last confirmed to hold all acknowledged documents; `null` if it never was. */
 	freshAgeMs(): number | null;
 	receive(envelope: ConsensusEnvelope): void;
-	hearStandby(memberId: string): void;
-	/** Hands the leadership over. */
+	recordStandby(memberId: string): void;
+	/** Transfers leadership to another member. */
 	leave(): Promise<void>;
 	close(): Promise<void>;
 };
 
-/** Entries behind which the log is replaced by a snapshot: each may hold a whole configuration, and the disk is small. */
+/** Number of entries after which the log is compacted into a snapshot: each may hold a complete configuration, and the disk is small. */
 const snapshotEntries = 64;
 const segmentBytes = 4 * 1024 * 1024;
-/** How soon a member that is silent is replaced, if another host stands by: a restart takes less, and while none stands by nothing is changed. */
+/** Time after which a silent member is replaced if a standby host is available: a restart takes less, and without a standby nothing changes. */
 const replaceAfterMs = 1500;
 const proposalTimeoutMs = 2500;
-/** How often a disk that refused a write is tried again. */
-const reopenMs = 500;
+/** Delay before a disk that failed a write is tried again. */
+const reopenDelayMs = 500;
 
-type Opened = {readonly driver: ConsensusDriver; readonly repair: VoterRepair; readonly store: LogStore};
+type OpenLog = {readonly driver: ConsensusDriver; readonly repair: VoterRepair; readonly store: LogStore};
 
 const noopPayload: LogEntry['payload'] = {type: 'command', command: {commandId: null, ifRevision: null, change: {type: 'noop'}}};
 
@@ -73,13 +73,13 @@
 	let appliedIndex = 0;
 	let appliedTerm = 0;
 	let leadingSinceMs = 0;
-	let opened: Opened | null = null;
+	let openLog: OpenLog | null = null;
 	let isClosed = false;
-	let reopening: NodeJS.Timeout | null = null;
+	let reopenTimer: NodeJS.Timeout | null = null;
 
 	const proposals = createLogProposals<DocumentOutcome>({
 		timeoutMs: proposalTimeoutMs,
-		append: payload => opened === null ? {type: 'rejected', reason: 'notLeader'} : opened.driver.propose(payload),
+		append: payload => openLog === null ? {type: 'rejected', reason: 'notLeader'} : openLog.driver.propose(payload),
 	});
 
 	const onCommit = (entry: LogEntry): void => {
@@ -96,11 +96,11 @@
 			onChange();
 		}
 
-		compactWhenLong();
+		compactIfLong();
 	};
 
-	const compactWhenLong = (): void => {
-		const driver = opened?.driver;
+	const compactIfLong = (): void => {
+		const driver = openLog?.driver;
 		if (driver !== undefined && appliedIndex - (driver.state.snapshot?.index ?? 0) >= snapshotEntries) {
 			driver.compact({index: appliedIndex, term: appliedTerm, state: encodeDocumentState(state)});
 			logger.event('BP1003', {index: appliedIndex});
@@ -108,25 +108,25 @@
 	};
 
 	/**
-	 * A disk that is full or fails must not end the process: it hears endpoints
-	 * and answers followers without it. It gives up its part in the log, and
-	 * takes it up again from what is on the disk once that takes writes.
+	 * A full or failing disk must not end the process, because it can still receive
+	 * announcements and answer followers. The host stops participating in the log and
+	 * resumes from the data on disk once writes succeed again.
 	 */
 	const onFailure = (error: Error): void => {
 		logger.event('BP4010', {reason: error.message});
-		const failed = opened;
-		opened = null;
+		const failed = openLog;
+		openLog = null;
 		onChange();
 		void failed?.driver.close().catch(() => undefined);
 		scheduleReopen();
 	};
 
 	const scheduleReopen = (): void => {
-		if (!isClosed && reopening === null) {
-			reopening = setTimeout(() => {
-				reopening = null;
+		if (!isClosed && reopenTimer === null) {
+			reopenTimer = setTimeout(() => {
+				reopenTimer = null;
 				void open().catch(onFailure);
-			}, reopenMs);
+			}, reopenDelayMs);
 		}
 	};
 
@@ -165,45 +165,45 @@
 			driver, voterCount, replaceAfterMs, logger, otherAddresses, leadingSinceMs: () => leadingSinceMs, nowMs: clock.nowMs,
 			identity: {memberId: identity.memberId, formation: () => ({diskId: '', accepted: null, isFormed: true}), adoptFromLog: async () => undefined},
 		});
-		opened = {driver, repair, store};
+		openLog = {driver, repair, store};
 		logger.event('BP4011', {memberId: identity.memberId, voters: driver.state.members.voters.join(',')});
 	};
 
 	await open().catch(onFailure);
-	const repairing = setInterval(() => {
-		opened?.repair.run();
+	const repairTimer = setInterval(() => {
+		openLog?.repair.run();
 	}, repairMs);
 
-	const members = (): string[] => {
-		const {voters, learners} = opened?.driver.state.members ?? {voters: [], learners: []};
+	const memberIds = (): string[] => {
+		const {voters, learners} = openLog?.driver.state.members ?? {voters: [], learners: []};
 		return [...voters, ...learners];
 	};
 
 	const addressesOf = (memberIds: readonly string[]): string[] => [...new Set(memberIds.map(member => hostOfMember(member)))];
 
-	const isLeader = (): boolean => opened !== null && hasLeaderLease(opened.driver.state, clock.nowMs());
+	const isLeader = (): boolean => openLog !== null && hasLeaderLease(openLog.driver.state, clock.nowMs());
 
 	return {
 		state: () => state,
 		isLeader,
 		leaderAddress() {
-			const leaderId = opened?.driver.state.leaderId ?? null;
+			const leaderId = openLog?.driver.state.leaderId ?? null;
 			const address = leaderId === null ? null : hostOfMember(leaderId);
 			return address === selfAddress ? null : address;
 		},
-		memberAddresses: () => addressesOf(members()),
-		diskAddresses: () => addressesOf(members().filter(member => hasDisk(member))),
+		memberAddresses: () => addressesOf(memberIds()),
+		diskAddresses: () => addressesOf(memberIds().filter(member => hasDisk(member))),
 		propose: async document => proposals.propose({type: 'document', document}),
 		async confirm() {
 			await proposals.propose(noopPayload);
 		},
 		freshAgeMs() {
-			if (opened === null) {
+			if (openLog === null) {
 				return null;
 			}
 
 			const nowMs = clock.nowMs();
-			const {state: consensus} = opened.driver;
+			const {state: consensus} = openLog.driver;
 			if (consensus.role === 'leader') {
 				return hasLeaderLease(consensus, nowMs) ? Math.max(0, nowMs - quorumHeardAtMs(consensus, nowMs)) : null;
 			}
@@ -212,21 +212,21 @@
 			return consensus.leaderId !== null && Number.isFinite(ageMs) ? Math.max(0, ageMs) : null;
 		},
 		receive(envelope) {
-			opened?.driver.receive(envelope);
+			openLog?.driver.receive(envelope);
 		},
-		hearStandby(memberId) {
-			opened?.repair.hear(memberId);
+		recordStandby(memberId) {
+			openLog?.repair.hear(memberId);
 		},
 		async leave() {
-			if (opened !== null) {
-				await handOver({driver: opened.driver});
+			if (openLog !== null) {
+				await handOver({driver: openLog.driver});
 			}
 		},
 		async close() {
 			isClosed = true;
-			clearInterval(repairing);
-			clearTimeout(reopening ?? undefined);
-			await opened?.driver.close();
+			clearInterval(repairTimer);
+			clearTimeout(reopenTimer ?? undefined);
+			await openLog?.driver.close();
 		},
 	};
 };
--- a/packages/gateway/src/core/followers.ts
+++ b/packages/gateway/src/core/followers.ts
@@ -1,36 +1,38 @@
 import {createHash} from 'node:crypto';
 import type {Follower, Roster} from '../link/methods.js';
 
-type Seen = {readonly follower: Follower; seenAtMs: number};
+type SeenFollower = {readonly follower: Follower; seenAtMs: number};
 
-/** Processes that ask this core host for news, by address. */
+/** Processes that poll this core host for updates, by address. */
 export type Followers = {
-	note(follower: Follower, nowMs: number): void;
-	/** What `follower` has to know of the others; up to `rosterAgeMs` old. */
+	record(follower: Follower, nowMs: number): void;
+	/** Roster of the processes that are relevant to `follower`; up to `rosterCacheMs` old. */
 	roster(follower: Follower, coreAddresses: readonly string[], nowMs: number): Roster;
-	/** Whether someone has come or gone since a roster was made that is still given out. */
+	/** Whether a follower has joined or left since a roster that is still cached was built. */
 	isStale(): boolean;
 };
 
-/** Longer than a follower's question stays open and its next one takes; one that has not asked for this long is gone or cut off. */
-const followerLossMs: Record<Follower['role'], number> = {core: 2500, entry: 2500, agent: 5500};
+/** Longer than a follower's long poll plus the start of the next one; a follower that has not polled for this long is down or disconnected. */
+const followerTimeoutMs: Record<Follower['role'], number> = {core: 2500, entry: 2500, agent: 5500};
 /**
- * A roster is kept for so long, whoever comes or goes. While two hundred processes
- * start within half a second, each that comes would otherwise be told of by itself.
+ * Minimum time for which a roster is cached, even if followers join or leave. When two
+ * hundred processes start within half a second, each of them would otherwise be
+ * announced individually.
  */
-export const rosterAgeMs = 400;
-/** How often those that are gone are looked for. */
-const sweepMs = 250;
+export const rosterCacheMs = 400;
+/** Minimum interval between removals of followers that have timed out. */
+const sweepIntervalMs = 250;
 
 const isSame = (a: Follower, b: Follower): boolean => a.role === b.role && a.zoneId === b.zoneId && a.regionId === b.regionId
 	&& a.endpointAddress === b.endpointAddress && a.serviceName === b.serviceName;
 
 /**
- * Entries concern all but core hosts, for the reports that they are sent and pass on;
- * agents concern those of the same service, for its weights. All else would cost
- * a fleet more with each host than any of them uses.
+ * Entries are relevant to all followers except core hosts, because they receive and
+ * relay load reports; agents are relevant to agents of the same service, which exchange
+ * its weights. Other entries in a roster would add cost with each host of a fleet and
+ * no reader would use them.
  */
-const concerns = (reader: Follower, other: Follower): boolean => {
+const isRelevantTo = (reader: Follower, other: Follower): boolean => {
 	switch (reader.role) {
 		case 'core': {
 			return false;
@@ -46,35 +48,35 @@
 	}
 };
 
-type Kept = {readonly revision: number; readonly coreText: string; readonly madeAtMs: number; readonly roster: Roster};
+type CachedRoster = {readonly revision: number; readonly coreText: string; readonly builtAtMs: number; readonly roster: Roster};
 
 /**
- * Rosters are kept until someone comes or goes. Made anew for each question of
- * each follower, they would take most of a core host's processor time.
+ * Rosters are cached until a follower joins or leaves. Building one for every poll of
+ * every follower would take most of a core host's CPU time.
  */
 export const createFollowers = (): Followers => {
-	const seen = new Map<string, Seen>();
-	const kept = new Map<string, Kept>();
+	const seen = new Map<string, SeenFollower>();
+	const rosterCache = new Map<string, CachedRoster>();
 	let revision = 0;
-	let sweptAtMs = Number.NEGATIVE_INFINITY;
+	let lastSweepAtMs = Number.NEGATIVE_INFINITY;
 
 	const sweep = (nowMs: number): void => {
-		if (nowMs - sweptAtMs < sweepMs) {
+		if (nowMs - lastSweepAtMs < sweepIntervalMs) {
 			return;
 		}
 
-		sweptAtMs = nowMs;
+		lastSweepAtMs = nowMs;
 		for (const [address, {follower, seenAtMs}] of seen) {
-			if (nowMs - seenAtMs > followerLossMs[follower.role]) {
+			if (nowMs - seenAtMs > followerTimeoutMs[follower.role]) {
 				seen.delete(address);
 				revision++;
 			}
 		}
 	};
 
-	const make = (reader: Follower, coreAddresses: readonly string[]): Roster => {
+	const buildRoster = (reader: Follower, coreAddresses: readonly string[]): Roster => {
 		const all = [...seen.values()].map(({follower}) => follower);
-		const followers = all.filter(other => concerns(reader, other)).toSorted((a, b) => a.address < b.address ? -1 : 1);
+		const followers = all.filter(other => isRelevantTo(reader, other)).toSorted((a, b) => a.address < b.address ? -1 : 1);
 		const entryCount = all.filter(({role}) => role === 'entry').length;
 		const hash = createHash('sha1').update(JSON.stringify([coreAddresses, entryCount, followers])).digest('hex').slice(0, 12);
 		return {
@@ -83,7 +85,7 @@
 	};
 
 	return {
-		note(follower, nowMs) {
+		record(follower, nowMs) {
 			const known = seen.get(follower.address);
 			if (known !== undefined && isSame(known.follower, follower)) {
 				known.seenAtMs = nowMs;
@@ -97,18 +99,18 @@
 			sweep(nowMs);
 			const core = coreAddresses.toSorted();
 			const coreText = core.join(',');
-			const name = reader.role === 'agent' ? `agent ${reader.serviceName}` : reader.role;
-			const before = kept.get(name);
-			if (before !== undefined && (nowMs - before.madeAtMs < rosterAgeMs || (before.revision === revision && before.coreText === coreText))) {
-				return before.roster;
+			const cacheKey = reader.role === 'agent' ? `agent ${reader.serviceName}` : reader.role;
+			const cached = rosterCache.get(cacheKey);
+			if (cached !== undefined && (nowMs - cached.builtAtMs < rosterCacheMs || (cached.revision === revision && cached.coreText === coreText))) {
+				return cached.roster;
 			}
 
-			const roster = make(reader, core);
-			kept.set(name, {
-				revision, coreText, madeAtMs: nowMs, roster,
+			const roster = buildRoster(reader, core);
+			rosterCache.set(cacheKey, {
+				revision, coreText, builtAtMs: nowMs, roster,
 			});
 			return roster;
 		},
-		isStale: () => [...kept.values()].some(roster => roster.revision !== revision),
+		isStale: () => [...rosterCache.values()].some(roster => roster.revision !== revision),
 	};
 };
--- a/packages/gateway/src/core/permit-desk.ts
+++ b/packages/gateway/src/core/permit-desk.ts
@@ -1,80 +1,80 @@
 import {createSwitchPermits, returnPermit, takePermit} from '@bitternpaddle/coordination';
 
-export type PermitDeskOptions = {
-	/** Endpoints of a service that serve. */
+export type PermitServiceOptions = {
+	/** Number of a service's endpoints that are serving. */
 	engineCount(serviceName: string): number;
 	nowMs(): number;
 };
 
-/** Where agents wait in line to take the engine beside them out of service. */
-export type PermitDesk = {
-	/** Whether `holder` may switch now, or may within the wait. */
-	ask(holder: string, serviceName: string): Promise<boolean>;
-	giveBack(holder: string): void;
+/** Grants agents permits to take their engines out of service, in order of request. */
+export type PermitService = {
+	/** Resolves to whether `holder` got a permit, at once or within the maximum wait. */
+	requestPermit(holder: string, serviceName: string): Promise<boolean>;
+	releasePermit(holder: string): void;
 	close(): void;
 };
 
-type Waiting = {readonly holder: string; readonly serviceName: string; readonly untilMs: number; answer(isGranted: boolean): void};
+type PendingRequest = {readonly holder: string; readonly serviceName: string; readonly untilMs: number; answer(isGranted: boolean): void};
 
 /**
- * How long an agent waits before it asks again. A third of the engines is out at
- * once, so most of a fleet waits for most of a wave; asking every tenth of a
- * second, and each core host until one leads, they would send three thousand
- * calls a second where a hundred engines switch.
+ * How long a request is held before it is answered and the agent asks again. A third
+ * of the engines is out of service at once, so most of a fleet waits for most of a
+ * rollout. Agents that polled every 0.1 s, trying each core host until one leads, would
+ * send three thousand calls per second for a hundred engines.
  */
-const waitMs = 300;
-/** How often permits that ended by themselves are looked for. */
-const lookMs = 50;
+const maxWaitMs = 300;
+/** Interval between checks for expired permits. */
+const pollIntervalMs = 50;
 
-export const createPermitDesk = ({engineCount, nowMs}: PermitDeskOptions): PermitDesk => {
+export const createPermitService = ({engineCount, nowMs}: PermitServiceOptions): PermitService => {
 	const permits = createSwitchPermits();
-	let waiting: Waiting[] = [];
+	let pendingRequests: PendingRequest[] = [];
 	let timer: NodeJS.Timeout | null = null;
 	let isClosed = false;
 
-	const mayGo = ({holder, serviceName}: Pick<Waiting, 'holder' | 'serviceName'>): boolean => takePermit(permits, {
+	const tryTakePermit = ({holder, serviceName}: Pick<PendingRequest, 'holder' | 'serviceName'>): boolean => takePermit(permits, {
 		holder, serviceName, engineCount: engineCount(serviceName),
 	}, nowMs());
 
-	/** Answers those who may go now or have waited long enough, in the order in which they came. */
-	const serve = (): void => {
-		const still: Waiting[] = [];
-		for (const waiter of waiting) {
-			const isGranted = !isClosed && mayGo(waiter);
-			if (isGranted || isClosed || nowMs() >= waiter.untilMs) {
-				waiter.answer(isGranted);
+	/** Answers requests that can be granted or have reached the maximum wait, in order of arrival. */
+	const resolvePending = (): void => {
+		const remaining: PendingRequest[] = [];
+		for (const pending of pendingRequests) {
+			const isGranted = !isClosed && tryTakePermit(pending);
+			if (isGranted || isClosed || nowMs() >= pending.untilMs) {
+				pending.answer(isGranted);
 			} else {
-				still.push(waiter);
+				remaining.push(pending);
 			}
 		}
 
-		waiting = still;
-		if (waiting.length === 0 && timer !== null) {
+		pendingRequests = remaining;
+		if (pendingRequests.length === 0 && timer !== null) {
 			clearInterval(timer);
 			timer = null;
 		}
 	};
 
 	return {
-		async ask(holder, serviceName) {
-			if (isClosed || mayGo({holder, serviceName})) {
+		async requestPermit(holder, serviceName) {
+			if (isClosed || tryTakePermit({holder, serviceName})) {
 				return !isClosed;
 			}
 
 			return new Promise(resolve => {
-				waiting.push({
-					holder, serviceName, untilMs: nowMs() + waitMs, answer: resolve,
+				pendingRequests.push({
+					holder, serviceName, untilMs: nowMs() + maxWaitMs, answer: resolve,
 				});
-				timer ??= setInterval(serve, lookMs);
+				timer ??= setInterval(resolvePending, pollIntervalMs);
 			});
 		},
-		giveBack(holder) {
+		releasePermit(holder) {
 			returnPermit(permits, holder);
-			serve();
+			resolvePending();
 		},
 		close() {
 			isClosed = true;
-			serve();
+			resolvePending();
 		},
 	};
 };
--- a/packages/gateway/src/core/watch-desk.ts
+++ b/packages/gateway/src/core/watch-desk.ts
@@ -1,36 +1,36 @@
 import type {WatchParameters, WatchResult} from '../link/methods.js';
 
-export type WatchDeskOptions = {
-	/** What the follower would be told now. */
+export type WatchServiceOptions = {
+	/** Builds the current result for a follower. */
 	answer(parameters: WatchParameters): WatchResult;
-	/** Whether that is worth telling before the follower asks again by itself. */
-	isNews(parameters: WatchParameters): boolean;
+	/** Whether that result has an update that should be sent before the long poll times out. */
+	hasUpdate(parameters: WatchParameters): boolean;
 };
 
-export type WatchDesk = {
-	/** Answers at once if there is news, or when there is, or after the wait that was asked for. */
+export type WatchService = {
+	/** Answers at once if there is an update, otherwise at the next update or after the requested wait. */
 	watch(parameters: WatchParameters): Promise<WatchResult>;
-	/** Something changed: whoever waits for it is answered. */
+	/** Answers the open polls for which a change brought an update. */
 	wake(): void;
-	/** Answers all. */
+	/** Answers all open polls. */
 	close(): void;
 };
 
-type Waiting = {readonly parameters: WatchParameters; release(): void};
+type OpenPoll = {readonly parameters: WatchParameters; release(): void};
 
-/** A follower may not keep a question open for longer, whatever it asks. */
-const longestWaitMs = 4000;
+/** Upper bound on the duration of a long poll, whatever wait the follower requests. */
+const maxWaitMs = 4000;
 
-export const createWatchDesk = ({answer, isNews}: WatchDeskOptions): WatchDesk => {
-	const waiting = new Set<Waiting>();
-	let isWaking = false;
+export const createWatchService = ({answer, hasUpdate: isNews}: WatchServiceOptions): WatchService => {
+	const openPolls = new Set<OpenPoll>();
+	let isWakeScheduled = false;
 	let isClosed = false;
 
 	const releaseDue = (): void => {
-		isWaking = false;
-		for (const waiter of waiting) {
-			if (isClosed || isNews(waiter.parameters)) {
-				waiter.release();
+		isWakeScheduled = false;
+		for (const openPoll of openPolls) {
+			if (isClosed || isNews(openPoll.parameters)) {
+				openPoll.release();
 			}
 		}
 	};
@@ -39,25 +39,25 @@
 		async watch(parameters) {
 			if (parameters.waitMs > 0 && !isClosed && !isNews(parameters)) {
 				await new Promise<void>(resolve => {
-					const waiter: Waiting = {
+					const openPoll: OpenPoll = {
 						parameters,
 						release() {
 							clearTimeout(timer);
-							waiting.delete(waiter);
+							openPolls.delete(openPoll);
 							resolve();
 						},
 					};
-					const timer = setTimeout(waiter.release, Math.min(longestWaitMs, parameters.waitMs));
-					waiting.add(waiter);
+					const timer = setTimeout(openPoll.release, Math.min(maxWaitMs, parameters.waitMs));
+					openPolls.add(openPoll);
 				});
 			}
 
 			return answer(parameters);
 		},
 		wake() {
-			// All changes of one turn are told together.
-			if (!isWaking) {
-				isWaking = true;
+			// All changes within one turn of the event loop are sent together.
+			if (!isWakeScheduled) {
+				isWakeScheduled = true;
 				setImmediate(releaseDue);
 			}
 		},
--- a/packages/gateway/src/process/gateway-metrics.ts
+++ b/packages/gateway/src/process/gateway-metrics.ts
@@ -2,23 +2,23 @@
 	Counter, Gauge, Histogram, Registry,
 } from 'prom-client';
 
-/** Counters and histograms of one process, served as text. */
+/** Metrics of one process, served in the Prometheus text format. */
 export type GatewayMetrics = {
-	/** A request ended; `outcome` is what its caller got. */
+	/** Counts a finished request; `outcome` is the result that the caller got. */
 	request(service: string, outcome: string): void;
 	attempt(service: string, outcome: string): void;
-	/** Time to the first byte of an answer that the caller was sent. */
+	/** Records the time to the first byte of the answer sent to the caller. */
 	firstByte(service: string, tookMs: number): void;
-	/** How far the expected first byte was from the real one. */
+	/** Records the difference between the actual and the expected time to the first byte. */
 	expectation(service: string, expectedMs: number, tookMs: number): void;
 	gauge(name: string, help: string, read: () => number): void;
 	count(name: string, help: string, by?: number): void;
 	text(): Promise<string>;
 };
 
-/** Bounds in ms, finer around the objectives of 100 to 500 ms. */
+/** Bucket bounds in ms, finer around the latency objectives of 100 to 500 ms. */
 const latencyBucketsMs = [5, 10, 25, 50, 100, 150, 200, 300, 400, 500, 750, 1000, 1500, 2500, 5000];
-const errorBucketsMs = [-1000, -400, -200, -100, -50, -20, 20, 50, 100, 200, 400, 1000];
+const expectationErrorBucketsMs = [-1000, -400, -200, -100, -50, -20, 20, 50, 100, 200, 400, 1000];
 
 export const createGatewayMetrics = (): GatewayMetrics => {
 	const registry = new Registry();
@@ -32,8 +32,8 @@
 	const firstBytes = new Histogram({
 		name: 'bitternpaddle_first_byte_ms', help: 'Time from a request to the first byte of its answer.', labelNames: ['service'], buckets: latencyBucketsMs, registers,
 	});
-	const errors = new Histogram({
-		name: 'bitternpaddle_expectation_error_ms', help: 'Real less expected time to the first byte.', labelNames: ['service'], buckets: errorBucketsMs, registers,
+	const expectationErrors = new Histogram({
+		name: 'bitternpaddle_expectation_error_ms', help: 'Real less expected time to the first byte.', labelNames: ['service'], buckets: expectationErrorBucketsMs, registers,
 	});
 	const counters = new Map<string, Counter>();
 	return {
@@ -47,7 +47,7 @@
 			firstBytes.observe({service}, tookMs);
 		},
 		expectation(service, expectedMs, tookMs) {
-			errors.observe({service}, tookMs - expectedMs);
+			expectationErrors.observe({service}, tookMs - expectedMs);
 		},
 		gauge(name, help, read) {
 			const gauge: Gauge = new Gauge({
--- a/packages/gateway/src/process/line-logger.ts
+++ b/packages/gateway/src/process/line-logger.ts
@@ -2,11 +2,11 @@
 import {logEvents, type LogEventId, type Logger} from '@bitternpaddle/transport';
 
 export type LineLoggerOptions = {
-	/** Fields on every line. */
+	/** Fields added to every line. */
 	readonly labels: Readonly<Record<string, string>>;
-	/** Lines of one event in a second; what is beyond is counted and told. @default 40 */
+	/** Maximum lines of one event per second; lines beyond it are counted and reported. @default 40 */
 	readonly linesPerSecond?: number;
-	/** Bytes that may wait for a reader of the output. @default 65536 */
+	/** Maximum number of bytes buffered for the reader of the output. @default 65536 */
 	readonly maxWaitingBytes?: number;
 	/** @default 1 */
 	readonly fileDescriptor?: number;
@@ -14,56 +14,56 @@
 
 const windowMs = 1000;
 /**
- * Lines that come closer together than this are written together: at the rate of a
- * busy entry each write of its own costs more than its line. A process that is
- * killed loses the lines of this time at most.
+ * Minimum interval between writes; lines in between are written together, because at
+ * the rate of a busy entry a separate write costs more than formatting its line. A
+ * process that is killed loses at most the lines of this interval.
  */
-const pauseMs = 50;
+const batchIntervalMs = 50;
 
 /**
- * Writes one JSON line an event to standard output, and never waits for its
- * reader: a pipe that nobody empties would stop the process, and every request
- * in it. One write is under way at a time; behind a bound lines are counted
- * instead of kept, and so are those of an event that comes too often.
+ * Writes one JSON line per event to standard output without ever waiting for its
+ * reader: a pipe that is not read would block the process and all its requests. One
+ * write is in progress at a time. Lines that exceed the buffer limit or the rate limit
+ * of their event are counted instead of written.
  */
 export const createLineLogger = ({labels, linesPerSecond = 40, maxWaitingBytes = 65_536, fileDescriptor = 1}: LineLoggerOptions): Logger => {
-	let waiting: string[] = [];
-	let waitingBytes = 0;
+	let pendingLines: string[] = [];
+	let pendingBytes = 0;
 	let isWriting = false;
-	let wroteAtMs = Number.NEGATIVE_INFINITY;
-	let pause: NodeJS.Timeout | null = null;
+	let lastWriteAtMs = Number.NEGATIVE_INFINITY;
+	let writeTimer: NodeJS.Timeout | null = null;
 	let windowStartMs = performance.now();
 	const counts = new Map<LogEventId, number>();
 
-	const writeSoon = (): void => {
-		if (isWriting || waiting.length === 0) {
+	const scheduleWrite = (): void => {
+		if (isWriting || pendingLines.length === 0) {
 			return;
 		}
 
-		pause ??= setTimeout(writeNext, Math.max(0, wroteAtMs + pauseMs - performance.now()));
+		writeTimer ??= setTimeout(writePending, Math.max(0, lastWriteAtMs + batchIntervalMs - performance.now()));
 	};
 
-	const writeNext = (): void => {
-		pause = null;
-		wroteAtMs = performance.now();
-		const text = waiting.join('');
-		waiting = [];
-		waitingBytes = 0;
+	const writePending = (): void => {
+		writeTimer = null;
+		lastWriteAtMs = performance.now();
+		const text = pendingLines.join('');
+		pendingLines = [];
+		pendingBytes = 0;
 		isWriting = true;
 		fs.write(fileDescriptor, text, () => {
 			isWriting = false;
-			writeSoon();
+			scheduleWrite();
 		});
 	};
 
 	const append = (line: string): boolean => {
-		if (waitingBytes + line.length > maxWaitingBytes) {
+		if (pendingBytes + line.length > maxWaitingBytes) {
 			return false;
 		}
 
-		waiting.push(line);
-		waitingBytes += line.length;
-		writeSoon();
+		pendingLines.push(line);
+		pendingBytes += line.length;
+		scheduleWrite();
 		return true;
 	};
 
--- a/packages/gateway/test/core-node.test.ts
+++ b/packages/gateway/test/core-node.test.ts
@@ -29,12 +29,12 @@
 	}
 };
 
-const submitted = async (node: CoreNode, number: number, text = `text ${number}`): Promise<string> => until(async () => {
+const submitUntilKnown = async (node: CoreNode, number: number, text = `text ${number}`): Promise<string> => until(async () => {
 	const result = await node.submit({kind: 'configuration', number, text});
 	return result !== 'unknown' && result;
 });
 
-const textOf = async (node: CoreNode): Promise<string> => until(async () => {
+const readText = async (node: CoreNode): Promise<string> => until(async () => {
 	const read: ReadConfiguration = await node.read();
 	return read.type === 'text' && read.text;
 });
@@ -51,56 +51,56 @@
 	},
 });
 
-// The whole system starts for the first time, and one of the three core hosts that
-// the settings name never comes up. The other two must accept the first document.
-t.test('a group forms without one of its first members', async t => {
+// At the first start of the whole system, one of the three core hosts in the
+// settings never comes up. The other two must accept the first document.
+t.test('a group forms without one of its first voters', async t => {
 	const seeds = await freeAddresses(3);
 	const folder = testFolder(t);
 	const [first, second] = await Promise.all([0, 1].map(async index => start(t, seeds[index]!, seeds, path.join(folder, `c${index}`))));
-	t.equal(await submitted(first!, 5), 'stored');
-	t.equal(await textOf(second!), 'text 5');
-	t.equal(await submitted(second!, 5), 'known', 'the same again, at another host');
-	t.equal(await submitted(second!, 5, 'other'), 'conflict');
+	t.equal(await submitUntilKnown(first!, 5), 'stored');
+	t.equal(await readText(second!), 'text 5');
+	t.equal(await submitUntilKnown(second!, 5), 'known', 'the same document submitted again at another host');
+	t.equal(await submitUntilKnown(second!, 5, 'other'), 'conflict');
 });
 
-// A host that lost its disk starts again at its address while another one is down.
-// It must not help to elect a leader that lacks what was acknowledged.
-t.test('a host with an empty disk does not count as the one that it was', async t => {
+// A host that lost its disk restarts at its address while another one is down.
+// It must not help to elect a leader that lacks acknowledged documents.
+t.test('a host with an empty disk does not vote as its former member', async t => {
 	const seeds = await freeAddresses(3);
 	const folder = testFolder(t);
 	const nodes = await Promise.all(seeds.map(async (seed, index) => start(t, seed, seeds, path.join(folder, `c${index}`))));
-	t.equal(await submitted(nodes[0]!, 5), 'stored');
+	t.equal(await submitUntilKnown(nodes[0]!, 5), 'stored');
 	await Promise.all(nodes.map(async node => node.close()));
 	const kept = await start(t, seeds[0]!, seeds, path.join(folder, 'c0'), false);
 	const emptied = await start(t, seeds[1]!, seeds, path.join(folder, 'empty'), false);
 	await delay(1500);
-	t.match(await emptied.read(), {type: 'unsure'}, 'one old member of three decides nothing');
+	t.match(await emptied.read(), {type: 'unsure'}, 'one of three original members cannot decide');
 	await start(t, seeds[2]!, seeds, path.join(folder, 'c2'), false);
-	t.equal(await textOf(kept), 'text 5');
-	t.equal(await textOf(emptied), 'text 5', 'and the empty one has been taken in');
+	t.equal(await readText(kept), 'text 5');
+	t.equal(await readText(emptied), 'text 5', 'the host with the empty disk has been added as a member');
 });
 
-// A host that serves control has no disk. Operators may ask any control host: it
-// passes on what they change, and reads back what is in force, also after a restart.
-t.test('a host without a disk answers for the log and holds no part of it', async t => {
+// A control host has no disk. Operators may call any control host: it forwards their
+// changes and reads the configuration in force, also after a restart.
+t.test('a host without a disk forwards calls to the log and is no voter', async t => {
 	const [first, second, third, diskless] = await freeAddresses(4);
 	const seeds = [first!, second!, third!];
 	const folder = testFolder(t);
 	const nodes = await Promise.all(seeds.map(async (seed, index) => start(t, seed, seeds, path.join(folder, `c${index}`))));
 	const before = await start(t, diskless!, seeds, null);
-	t.equal(await submitted(before, 5), 'stored');
-	t.equal(await textOf(nodes[0]!), 'text 5');
-	t.same((await watch(first!)).roster?.coreAddresses.toSorted(), seeds.toSorted(), 'followers are not sent to it');
-	t.same((await watch(diskless!)).roster?.coreAddresses.toSorted(), seeds.toSorted(), 'and learn of the others there');
+	t.equal(await submitUntilKnown(before, 5), 'stored');
+	t.equal(await readText(nodes[0]!), 'text 5');
+	t.same((await watch(first!)).roster?.coreAddresses.toSorted(), seeds.toSorted(), 'followers are not directed to the host without a disk');
+	t.same((await watch(diskless!)).roster?.coreAddresses.toSorted(), seeds.toSorted(), 'it directs followers to the other hosts');
 	await before.close();
 	const after = await start(t, diskless!, seeds, null, false);
-	t.equal(await textOf(after), 'text 5');
-	t.equal(await submitted(after, 6), 'stored');
+	t.equal(await readText(after), 'text 5');
+	t.equal(await submitUntilKnown(after, 6), 'stored');
 });
 
-// An endpoint announces itself to one core host only, and says later that it
-// drains. Whoever follows any other core host must hear of it as well.
-t.test('what an endpoint tells one core host, all of them tell', async t => {
+// An endpoint announces itself to one core host only, and later reports to another that
+// it is draining. Followers of any other core host must receive both announcements.
+t.test('an announcement to one core host reaches the followers of all of them', async t => {
 	const seeds = await freeAddresses(3);
 	const folder = testFolder(t);
 	const nodes = await Promise.all(seeds.map(async (seed, index) => start(t, seed, seeds, path.join(folder, `c${index}`))));
@@ -116,13 +116,13 @@
 	nodes[2]!.withdraw('e1', null);
 	await until(async () => await stateAt(0) === 'gone');
 	nodes[0]!.announce(endpoint({sequence: 9}));
-	t.equal(await stateAt(0), 'gone', 'an id stands for one start');
+	t.equal(await stateAt(0), 'gone', 'an id identifies a single start');
 });
 
-// A core host starts again from a snapshot in which a version is named. If it told of
-// the version only once a later change was committed, agents would learn of it a
-// second and a half after the core is well again, and draw another one meanwhile.
-t.test('a version that is named in the snapshot is told from the start', async t => {
+// A core host restarts from a snapshot in which a version is named. If it reported the
+// version only after a later change was committed, agents would learn of it 1.5 s after
+// the core has recovered and fetch another version meanwhile.
+t.test('a version named in the snapshot is reported from the start', async t => {
 	const [address] = await freeAddresses(1);
 	const options = {
 		selfAddress: address!, zoneId: 'z1', regionId: 'r1', folder: path.join(testFolder(t), 'core'), seeds: () => [address!], lossesBorne: 0, clock, logger: silentLogger,
@@ -130,7 +130,7 @@
 	const before = await createCoreNode({...options, isFirstStart: true});
 	await until(async () => await before.submit({kind: 'version', model: 'm', version: 2}) === 'stored');
 	for (let number = 1; number <= 70; number++) {
-		await submitted(before, number);
+		await submitUntilKnown(before, number);
 	}
 
 	await before.close();
@@ -138,5 +138,5 @@
 	t.teardown(async () => after.close());
 	const {versions, freshAgeMs} = await watch(address!);
 	t.match(versions, [{model: 'm', version: 2}]);
-	t.equal(freshAgeMs, null, 'though it cannot be sure yet that it is the newest');
+	t.equal(freshAgeMs, null, 'the host cannot confirm yet that the version is the newest');
 });
--- a/packages/gateway/test/followers.test.ts
+++ b/packages/gateway/test/followers.test.ts
@@ -9,12 +9,12 @@
 });
 const core = ['10.0.0.2:1', '10.0.0.1:1'];
 
-// A fleet of hundreds starts, and each of its processes is told of each other one that
-// comes: that is the square of the fleet in messages. Each is told of those alone that it has to do with.
-t.test('a follower hears of those that it has to do with', async t => {
+// If every process of a fleet of hundreds were told of every other one that joins, the
+// number of messages would be quadratic. Each roster lists only the relevant processes.
+t.test('a roster lists only the processes that are relevant to its follower', async t => {
 	const followers = createFollowers();
 	for (const follower of [entry(1), entry(2), agent(1, 'a'), agent(2, 'a'), agent(3, 'b')]) {
-		followers.note(follower, 0);
+		followers.record(follower, 0);
 	}
 
 	const forAgent = followers.roster(agent(1, 'a'), core, 10);
@@ -25,42 +25,42 @@
 	t.equal(forEntry.entryCount, 2);
 });
 
-t.test('news of an agent are none for an entry', async t => {
+t.test('an agent that joins does not change the roster of an entry', async t => {
 	const followers = createFollowers();
-	followers.note(entry(1), 0);
-	followers.note(agent(1, 'a'), 0);
+	followers.record(entry(1), 0);
+	followers.record(agent(1, 'a'), 0);
 	const [entryHash, agentHash] = [followers.roster(entry(1), core, 10).hash, followers.roster(agent(1, 'a'), core, 10).hash];
-	followers.note(agent(2, 'a'), 20);
+	followers.record(agent(2, 'a'), 20);
 	t.equal(followers.roster(entry(1), core, 500).hash, entryHash);
 	t.not(followers.roster(agent(1, 'a'), core, 500).hash, agentHash);
 });
 
-t.test('a follower that no longer asks is left out, and is back when it asks again', async t => {
+t.test('a follower that stops polling is removed, and added again when it polls again', async t => {
 	const followers = createFollowers();
-	followers.note(entry(1), 0);
-	followers.note(entry(2), 0);
-	followers.note(entry(1), 2000);
+	followers.record(entry(1), 0);
+	followers.record(entry(2), 0);
+	followers.record(entry(1), 2000);
 	t.equal(followers.roster(entry(1), core, 2100).entryCount, 2);
-	followers.note(entry(1), 3000);
+	followers.record(entry(1), 3000);
 	t.equal(followers.roster(entry(1), core, 3000).entryCount, 1);
-	followers.note(entry(2), 3100);
+	followers.record(entry(2), 3100);
 	t.equal(followers.roster(entry(1), core, 3500).entryCount, 2);
 });
 
-t.test('a core host that joins is told of', async t => {
+t.test('a core host that joins appears in the roster', async t => {
 	const followers = createFollowers();
-	followers.note(entry(1), 0);
+	followers.record(entry(1), 0);
 	followers.roster(entry(1), core, 0);
 	t.same(followers.roster(entry(1), [...core, '10.0.0.3:1'], 400).coreAddresses, ['10.0.0.1:1', '10.0.0.2:1', '10.0.0.3:1']);
 });
 
-// Two hundred processes start within half a second. Told of each newcomer by itself,
-// each of them would read two hundred rosters of up to two hundred names.
-t.test('those that come in quick succession are told of together', async t => {
+// Two hundred processes start within half a second. If each were announced individually,
+// every process would read two hundred rosters of up to two hundred followers.
+t.test('followers that join in quick succession are announced together', async t => {
 	const followers = createFollowers();
 	const hashes = new Set<string>();
 	for (let index = 0; index < 100; index++) {
-		followers.note(agent(index, 'a'), index * 5);
+		followers.record(agent(index, 'a'), index * 5);
 		hashes.add(followers.roster(agent(0, 'a'), core, index * 5).hash);
 	}
 
@@ -69,14 +69,14 @@
 	t.equal(followers.roster(agent(0, 'a'), core, 1000).followers.length, 100);
 });
 
-// An entry comes while the roster of before is still given out. Agents whose question is
-// open must be told once there is a new one, or its callers find engines without reports.
-t.test('who comes while a roster is kept is not forgotten', async t => {
+// An entry joins while an older roster is still cached. Agents with an open poll must get
+// the new roster once it is built; otherwise the entry would have no reports of engines.
+t.test('a follower that joins while a roster is cached appears in the next one', async t => {
 	const followers = createFollowers();
-	followers.note(entry(1), 0);
+	followers.record(entry(1), 0);
 	followers.roster(agent(1, 'a'), core, 0);
 	t.notOk(followers.isStale());
-	followers.note(entry(2), 100);
+	followers.record(entry(2), 100);
 	t.equal(followers.roster(agent(1, 'a'), core, 300).followers.length, 1);
 	t.ok(followers.isStale());
 	t.equal(followers.roster(agent(1, 'a'), core, 400).followers.length, 2);
--- a/packages/gateway/test/line-logger.test.ts
+++ b/packages/gateway/test/line-logger.test.ts
@@ -9,9 +9,9 @@
 
 const linesOf = (filePath: string): Line[] => readFileSync(filePath, 'utf8').split('\n').filter(text => text !== '').map(text => JSON.parse(text) as Line);
 
-// Each of thousands of refused requests would write a line. The output is bounded,
-// and what was left out is counted, so that nobody takes the lines for all there was.
-t.test('an event that comes too often is counted instead of written', async t => {
+// Thousands of refused requests would each write a line. The output is limited and the
+// omitted lines are counted, so that readers can tell that the log is incomplete.
+t.test('lines of an event beyond its rate limit are counted instead of written', async t => {
 	const folder = testFolder(t);
 	mkdirSync(folder, {recursive: true});
 	const filePath = path.join(folder, 'log');
