--- a/packages/gateway/src/agent/agent-node.ts
+++ b/packages/gateway/src/agent/agent-node.ts
@@ -16,24 +16,24 @@
 import type {GatewayMetrics} from '../process/gateway-metrics.js';
 import type {EngineClient, EngineState, OriginClient} from './engine-client.js';
 import {createPacedLinks} from './paced-links.js';
-import {createVersionLoader, versionIn, type LoadGoal} from './version-loader.js';
+import {createVersionLoader, heldVersionOf, type LoadGoal} from './version-loader.js';
 import {createWeightExchange} from './weight-exchange.js';
 
 export type AgentNodeOptions = {
-	/** Where other processes of the system reach this one. */
+	/** Address at which other processes of the system reach this one. */
 	readonly selfAddress: string;
 	readonly zoneId: string;
 	readonly regionId: string;
-	/** The endpoint beside this agent. */
+	/** The endpoint on this agent's host. */
 	readonly endpointAddress: string;
 	readonly serviceName: string;
-	/** The host's link, which the endpoint shares. */
+	/** Bandwidth of the host's link, which the endpoint shares. */
 	readonly linkBytesPerSecond: number;
 	seeds(): readonly string[];
 	readonly protocol: Pick<RequestProtocol, 'decodeConfiguration'>;
 	readonly engine: EngineClient;
 	readonly origin: OriginClient;
-	/** No request begins on older weights later than this after newer ones were named. */
+	/** Time after a version is named until no request may begin on older weights. */
 	readonly versionDueMs: number;
 	readonly clock: Clock;
 	readonly logger: Logger;
@@ -44,31 +44,31 @@
 	stop(): Promise<void>;
 };
 
-/** How often the engine is looked at; a pass of its batch takes about as long. */
-const reportMs = 100;
-/** An unchanged report is sent again after this, so that a lost one is made up for. */
-const repeatMs = 180;
-/** Longer than a report takes to all entries, one crossing between regions and a busy loop. */
+/** Interval between polls of the engine; one pass of its batch takes about as long. */
+const reportIntervalMs = 100;
+/** An unchanged report is resent after this time to make up for a lost datagram. */
+const resendIntervalMs = 180;
+/** Longer than a report takes to reach all entries: one inter-region latency plus a busy event loop. */
 const leaveNoticeMs = 25;
-/** The leader keeps the question open for up to 0.3 s; the rest is for two crossings and a busy host. */
+/** The leader holds a permit request for up to 0.3 s; the rest covers an inter-region round trip and a busy host. */
 const permitTimeoutMs = 700;
-/** What exchanges may take of the link beside an engine that serves; the rest is for the engine's requests and answers, and for what transfers cost beside the chunks. */
-const linkShare = 0.85;
-/** An engine that begins empty serves nobody: its transfers may take all of the link. */
-const emptyLinkShare = 1;
+/** Share of the link for transfers while the engine serves; the rest is for the engine's requests and answers and for the protocol overhead of transfers. */
+const servingLinkShare = 0.85;
+/** An engine without weights serves no requests, so transfers may use the whole link. */
+const emptyEngineLinkShare = 1;
 const firstVersion = 1;
-/** A copy takes this many times what the host's link needs for its bytes alone, where all engines begin empty. */
-const fetchFactor = 1.2;
-/** News come at once; without any, an agent is heard of this often. Every 1.5 s these questions were a third of what an agent takes. */
-const followMs = 4000;
-/** How often core hosts are asked out of turn while it is not known which weights are wanted. */
-const refreshMs = 250;
-/** How often an agent takes a newer configuration. */
-const configurationMs = 5000;
-/** About 10 ms of a slow host's link. */
+/** Ratio of the real duration of a copy to the time that its bytes alone need on the host's link, when all engines start empty. */
+const fetchTimeFactor = 1.2;
+/** Long-poll duration at core hosts. Updates are answered at once; without any, this is how often an agent polls. At 1.5 s these polls were a third of an agent's cost. */
+const longPollMs = 4000;
+/** Interval of extra polls of the core hosts while the wanted version is undetermined. */
+const refreshIntervalMs = 250;
+/** Minimum interval between fetches of newer configurations. */
+const configurationIntervalMs = 5000;
+/** Takes about 10 ms on a slow host's link. */
 const uploadPieceBytes = 8192;
-/** When a host whose link is strained may be asked for a chunk again. */
-const strainedRetryMs = 500;
+/** Retry delay that a host with a congested link sends to peers that request a chunk. */
+const congestedLinkRetryMs = 500;
 
 export const createAgentNode = async (options: AgentNodeOptions): Promise<AgentNode> => {
 	const {
@@ -86,22 +86,22 @@
 	let state: EngineState | null = null;
 	let isLeavingService = false;
 	let isClosed = false;
-	let configuredAtMs = Number.NEGATIVE_INFINITY;
-	let sentText = '';
-	let sent: EngineReport | null = null;
-	let sentAtMs = Number.NEGATIVE_INFINITY;
+	let configurationReceivedAtMs = Number.NEGATIVE_INFINITY;
+	let sentReportText = '';
+	let sentReport: EngineReport | null = null;
+	let reportSentAtMs = Number.NEGATIVE_INFINITY;
 
-	/** The version that the engine serves, as last read; `null` while it serves none. */
+	/** The version that the engine served at the last poll; `null` if none. */
 	const servedVersion = (): number | null => {
 		if (state === null) {
 			return null;
 		}
 
 		const profile = configuration.table()?.services.get(serviceName)?.engine ?? null;
-		return profile === null ? state.models[0]?.version ?? null : versionIn(state, profile.model);
+		return profile === null ? state.models[0]?.version ?? null : heldVersionOf(state, profile.model);
 	};
 
-	const links = createPacedLinks({bytesPerSecond: linkBytesPerSecond, share: () => servedVersion() === null ? emptyLinkShare : linkShare});
+	const links = createPacedLinks({bytesPerSecond: linkBytesPerSecond, share: () => servedVersion() === null ? emptyEngineLinkShare : servingLinkShare});
 	const reporter = createLoadReporter({
 		endpointAddress, zoneId, entries: () => entries,
 	});
@@ -120,32 +120,32 @@
 		const table = configuration.table();
 		const profile = table?.services.get(serviceName)?.engine ?? null;
 		const source = [...table?.services.values() ?? []].find(service => service.origin !== null)?.origin ?? null;
-		const isSure = versions.isSettled(performance.now());
-		// An engine that serves goes on as it is until the wanted version is sure.
-		if (profile === null || source === null || (!isSure && (servedVersion() !== null || versions.newest(profile.model) === 0))) {
+		const isConfirmed = versions.isDetermined(performance.now());
+		// A serving engine keeps its version until the wanted one is confirmed.
+		if (profile === null || source === null || (!isConfirmed && (servedVersion() !== null || versions.newest(profile.model) === 0))) {
 			return null;
 		}
 
 		const version = Math.max(firstVersion, versions.newest(profile.model));
 		return {
-			profile, origin: source, version, namedAgeMs: versions.ageMs(profile.model, version, performance.now()), isSure,
+			profile, origin: source, version, namedAgeMs: versions.ageMs(profile.model, version, performance.now()), isConfirmed,
 		};
 	};
 
-	/** When the engine will most likely serve the wanted version, by what is missing and the host's link; `null` if it does or nobody can tell. */
+	/** Estimated time until the engine serves the wanted version, from the missing chunks and the link's bandwidth; `null` if it already does or the time cannot be estimated. */
 	const readyInMs = (): number | null => {
-		const wanted = goal();
+		const loadGoal = goal();
 		const missing = exchange.missingChunks();
-		if (wanted === null || missing === null || (servedVersion() ?? 0) >= wanted.version) {
+		if (loadGoal === null || missing === null || (servedVersion() ?? 0) >= loadGoal.version) {
 			return null;
 		}
 
-		const {profile: {chunkBytes, loadMs}} = wanted;
-		return Math.round(loadMs + (fetchFactor * missing * chunkBytes * 1000 / linkBytesPerSecond));
+		const {profile: {chunkBytes, loadMs}} = loadGoal;
+		return Math.round(loadMs + (fetchTimeFactor * missing * chunkBytes * 1000 / linkBytesPerSecond));
 	};
 
-	const reportOf = (seen: EngineState): EngineReport => ({
-		running: seen.running, queued: seen.queued, pace: seen.pace, isBusy: seen.isBusy || isLeavingService, isStrained: exchange.isStrained(),
+	const reportOf = (polled: EngineState): EngineReport => ({
+		running: polled.running, queued: polled.queued, pace: polled.pace, isBusy: polled.isBusy || isLeavingService, isStrained: exchange.isStrained(),
 		version: servedVersion(), readyInMs: readyInMs(),
 	});
 
@@ -153,16 +153,16 @@
 		const message = state === null ? null : reportOf(state);
 		const text = JSON.stringify(message);
 		const nowMs = performance.now();
-		const isTurning = message?.isBusy !== sent?.isBusy || message?.version !== sent?.version || (message === null) !== (sent === null);
-		if (text !== sentText || nowMs - sentAtMs >= repeatMs) {
-			sentText = text;
-			sent = message;
-			sentAtMs = nowMs;
-			reporter.send(message, isTurning);
+		const hasStateChange = message?.isBusy !== sentReport?.isBusy || message?.version !== sentReport?.version || (message === null) !== (sentReport === null);
+		if (text !== sentReportText || nowMs - reportSentAtMs >= resendIntervalMs) {
+			sentReportText = text;
+			sentReport = message;
+			reportSentAtMs = nowMs;
+			reporter.send(message, hasStateChange);
 		}
 	};
 
-	const look = async (): Promise<void> => {
+	const pollEngine = async (): Promise<void> => {
 		const wasReachable = state !== null;
 		try {
 			state = await engine.state();
@@ -180,22 +180,22 @@
 		report();
 	};
 
-	/** The core host that answered last: most likely it still leads. */
+	/** The core host that answered last; it most likely still leads. */
 	let leaderAddress = '';
 
-	const askPermit = async (isDone: boolean): Promise<boolean> => {
+	const requestPermit = async (isDone: boolean): Promise<boolean> => {
 		const addresses = client.liveAddresses();
 		for (const address of addresses.includes(leaderAddress) ? [leaderAddress, ...addresses.filter(other => other !== leaderAddress)] : addresses) {
 			try {
-				const answer = await callRpc<unknown>({
+				const result = await callRpc<unknown>({
 					address, method: 'gateway.permit', timeoutMs: permitTimeoutMs, params: {agentAddress: selfAddress, serviceName, isDone},
 				});
 				if (!isDone) {
 					leaderAddress = address;
-					return permitResultSchema.parse(answer).isGranted;
+					return permitResultSchema.parse(result).isGranted;
 				}
 			} catch {
-				// Only the leader grants; whoever does not lead says so, and the next is asked.
+				// Only the leader grants permits; any other core host answers with an error, and the next one is tried.
 			}
 		}
 
@@ -203,24 +203,24 @@
 	};
 
 	const loader = createVersionLoader({
-		engine, logger, goal, askPermit, dueMs: versionDueMs,
+		engine, logger, goal, requestPermit, dueMs: versionDueMs,
 		engineState: () => state,
 		openWeights: exchange.open,
 		async setLeavingService(isLeaving) {
 			if (isLeaving !== isLeavingService) {
 				isLeavingService = isLeaving;
 				report();
-				// Requests that are on their way when the order is given would wait until the version is loaded.
+				// Requests in flight when the load order is sent would wait until the version is loaded.
 				await delay(isLeaving ? leaveNoticeMs : 0);
 			}
 		},
 	});
 	const client = createCoreClient({
-		self, seeds, clock, logger, waitMs: followMs, configurationNumber: configuration.number,
-		// What an agent reads of it hardly ever changes: routes and keys are for entries.
-		wantsConfiguration: () => configuration.number() === -1 || performance.now() - configuredAtMs > configurationMs,
+		self, seeds, clock, logger, waitMs: longPollMs, configurationNumber: configuration.number,
+		// Agents use only the engine profiles and origins, which rarely change; routes and keys concern entries.
+		wantsConfiguration: () => configuration.number() === -1 || performance.now() - configurationReceivedAtMs > configurationIntervalMs,
 		onConfiguration(document) {
-			configuredAtMs = performance.now();
+			configurationReceivedAtMs = performance.now();
 			configuration.take(document);
 		},
 		onResult(result) {
@@ -235,7 +235,7 @@
 
 	const rpc = createRpcServer();
 	rpc.method('agent.have', haveParametersSchema, parameters => {
-		exchange.hear(parameters);
+		exchange.receiveHave(parameters);
 	});
 	const serveUpload = createUploadServer({links, pieceBytes: uploadPieceBytes, readChunk: async (manifestId, chunk) => exchange.readChunk(manifestId, chunk)});
 	const server = await createHttpServer({
@@ -247,8 +247,8 @@
 				return;
 			}
 
-			if (url.startsWith(`${chunksPrefix}/`) && exchange.isResting()) {
-				sendJson(response, 503, {error: 'the link of this host is strained'}, {[retryAfterMsHeader]: String(strainedRetryMs)});
+			if (url.startsWith(`${chunksPrefix}/`) && exchange.isBackingOff()) {
+				sendJson(response, 503, {error: 'the link of this host is strained'}, {[retryAfterMsHeader]: String(congestedLinkRetryMs)});
 				return;
 			}
 
@@ -263,27 +263,27 @@
 		},
 	});
 
-	let refreshedAtMs = Number.NEGATIVE_INFINITY;
-	/** That a core host has become sure is no news that it tells by itself. */
-	const askUntilSettled = (): void => {
+	let lastRefreshAtMs = Number.NEGATIVE_INFINITY;
+	/** Core hosts send no update when they confirm that their state is current, so the agent polls for it. */
+	const refreshUntilDetermined = (): void => {
 		const nowMs = performance.now();
-		if (!versions.isSettled(nowMs) && nowMs - refreshedAtMs > refreshMs) {
-			refreshedAtMs = nowMs;
+		if (!versions.isDetermined(nowMs) && nowMs - lastRefreshAtMs > refreshIntervalMs) {
+			lastRefreshAtMs = nowMs;
 			client.refresh();
 		}
 	};
 
 	const isOpen = (): boolean => !isClosed;
-	const run = async (pauseMs: number, work: () => Promise<void>): Promise<void> => {
+	const run = async (intervalMs: number, task: () => Promise<void>): Promise<void> => {
 		while (isOpen()) {
-			await work();
-			await delay(pauseMs);
+			await task();
+			await delay(intervalMs);
 		}
 	};
 
-	void run(reportMs, async () => {
-		await look();
-		askUntilSettled();
+	void run(reportIntervalMs, async () => {
+		await pollEngine();
+		refreshUntilDetermined();
 		void loader.step();
 	});
 	metrics.gauge('origin_bytes', 'Bytes of weights drawn from the origin.', () => exchange.counters.originBytes);
--- a/packages/gateway/src/agent/digest-source.ts
+++ b/packages/gateway/src/agent/digest-source.ts
@@ -6,23 +6,23 @@
 
 export type DigestSourceOptions = {
 	readonly origin: Pick<OriginClient, 'digests'>;
-	/** Agents beside other engines of the same model, asked when the origin has none. */
+	/** Agents of other engines with the same model, queried when the origin has no digests. */
 	peers(): readonly TransferPeer[];
 	readonly logger: Logger;
 };
 
-/** The digests of a version's chunks; `null` while they cannot be had. */
+/** Returns the digests of a version's chunks; `null` while they are unavailable. */
 export type DigestSource = (goal: LoadGoal) => Promise<readonly string[] | null>;
 
-/** A peer answers from memory; one that does not within this is gone or stands still. */
+/** Peers answer from memory; one that does not answer within this time is down or stalled. */
 const digestTimeoutMs = 700;
 const digestsSchema = z.array(z.string());
 
-/** Where an agent serves the digests that it knows. */
+/** Path at which an agent serves the digests that it knows. */
 export const digestsPath = (model: string, version: number): string => `/digests/${encodeURIComponent(model)}/${version}`;
 
 export const createDigestSource = ({origin, peers, logger}: DigestSourceOptions): DigestSource => {
-	const askPeers = async (model: string, version: number): Promise<readonly string[] | null> => {
+	const fetchFromPeers = async (model: string, version: number): Promise<readonly string[] | null> => {
 		for (const {address} of peers()) {
 			try {
 				const response = await sendHttp({address, path: digestsPath(model, version), idleTimeoutMs: digestTimeoutMs});
@@ -31,7 +31,7 @@
 					return digestsSchema.parse(JSON.parse(text));
 				}
 			} catch {
-				// The next peer is asked; the failure shows as digests that cannot be had.
+				// The next peer is tried; if all fail, the digests are reported as unavailable.
 			}
 		}
 
@@ -48,6 +48,6 @@
 			logger.event('BP4037', {version, reason: (error as Error).message});
 		}
 
-		return askPeers(model, version);
+		return fetchFromPeers(model, version);
 	};
 };
--- a/packages/gateway/src/agent/engine-client.ts
+++ b/packages/gateway/src/agent/engine-client.ts
@@ -1,34 +1,34 @@
 import type {Buffer} from 'node:buffer';
 import type {HeldModel} from '@bitternpaddle/coordination';
 
-/** What an engine says of itself. */
+/** State that an engine reports. */
 export type EngineState = {
 	readonly running: number;
 	readonly queued: number;
 	readonly pace: number;
-	/** An order is being carried out. */
+	/** A load order is in progress. */
 	readonly isBusy: boolean;
-	/** Models whose weights it holds whole. */
+	/** Models whose weights it holds completely. */
 	readonly models: readonly HeldModel[];
 };
 
-/** `begun`: the order is being carried out. `done`: it already was. `refused`: it does not fit the engine's state. */
+/** `begun`: the order is in progress. `done`: it was already carried out. `refused`: the engine's state does not allow it. */
 export type LoadOrderOutcome = 'begun' | 'done' | 'refused';
 
 export type LoadMode = 'afterRunning' | 'cutRunning';
 
-/** The engine beside an agent. Every call rejects if the engine does not answer. */
+/** Client for the engine on the agent's host. Every call rejects if the engine does not answer. */
 export type EngineClient = {
 	state(): Promise<EngineState>;
-	/** Stages a chunk; the engine does not check it. */
+	/** Stages a chunk; the engine does not verify it. */
 	putChunk(model: string, chunk: number, data: Uint8Array): Promise<void>;
-	/** A staged chunk; `null` if none is there. */
+	/** Reads back a staged chunk; `null` if it is not staged. */
 	getChunk(model: string, chunk: number): Promise<Buffer | null>;
-	/** Loads what is staged: once what runs is done, or at once, and what runs is cut. */
+	/** Loads the staged weights, either after running requests finish or at once, which aborts them. */
 	load(model: string, version: number, mode: LoadMode): Promise<LoadOrderOutcome>;
 };
 
-/** The origin of weights. Every call rejects if it does not answer in time. */
+/** Client for the origin of weights. Every call rejects if the origin does not answer in time. */
 export type OriginClient = {
 	/** Digests of a version's chunks as 64 hexadecimal digits; `null` if the origin does not have that version. */
 	digests(address: string, model: string, version: number): Promise<readonly string[] | null>;
--- a/packages/gateway/src/agent/paced-links.ts
+++ b/packages/gateway/src/agent/paced-links.ts
@@ -5,17 +5,17 @@
 import type {TransferLinks} from '@bitternpaddle/daemon/transfer';
 
 export type PacedLinksOptions = {
-	/** What the host's link carries each way. */
+	/** Bandwidth of the host's link in each direction. */
 	readonly bytesPerSecond: number;
-	/** What of it transfers may take now. */
+	/** Share of the bandwidth that transfers may use now. */
 	share(): number;
 };
 
-/** What transfers take of a host's link, at a steady pace: the engine beside it answers callers over the same link. */
+/** Paces transfers to a share of the host's link, because the engine answers callers over the same link. */
 export const createPacedLinks = ({bytesPerSecond, share}: PacedLinksOptions): TransferLinks => {
 	const incoming = createLinkBudget(bytesPerSecond);
 	const outgoing = createLinkBudget(bytesPerSecond);
-	const take = async (budget: LinkBudget, sizeBytes: number, signal?: AbortSignal): Promise<void> => {
+	const consume = async (budget: LinkBudget, sizeBytes: number, signal?: AbortSignal): Promise<void> => {
 		budget.share = share();
 		const waitMs = takeFromBudget(budget, sizeBytes, performance.now());
 		if (waitMs > 0) {
@@ -26,8 +26,8 @@
 	return {
 		uploads: createUploads(),
 		rests: createSourceRests(false),
-		takeIn: async (sizeBytes, signal) => take(incoming, sizeBytes, signal),
-		takeOut: async (sizeBytes, signal) => take(outgoing, sizeBytes, signal),
+		takeIn: async (sizeBytes, signal) => consume(incoming, sizeBytes, signal),
+		takeOut: async (sizeBytes, signal) => consume(outgoing, sizeBytes, signal),
 		share,
 		close: () => undefined,
 	};
--- a/packages/gateway/src/agent/staged-weights.ts
+++ b/packages/gateway/src/agent/staged-weights.ts
@@ -4,7 +4,7 @@
 } from '@bitternpaddle/state';
 import type {EngineClient} from './engine-client.js';
 
-/** The chunks of one version: verified ones in memory, and the copy that is staged at the engine. */
+/** The chunks of one version: the verified ones in memory and the copy staged at the engine. */
 export type StagedWeights = {
 	readonly model: string;
 	readonly version: number;
@@ -12,12 +12,12 @@
 	readonly manifest: Manifest;
 	heldChunks(): readonly number[];
 	isComplete(): boolean;
-	/** Keeps and stages a chunk if its digest is right. */
+	/** Keeps and stages a chunk if its digest matches. */
 	put(chunk: number, data: Uint8Array): Promise<boolean>;
 	read(chunk: number): Uint8Array | null;
-	/** Takes in what the engine has staged already. */
-	adopt(): Promise<void>;
-	/** Reads back everything that is staged and replaces what is not right; how many chunks that were. */
+	/** Reads the chunks that the engine has already staged and keeps those whose digests match. */
+	readStaged(): Promise<void>;
+	/** Reads back all staged chunks and replaces those that do not match; returns the number replaced. */
 	repair(): Promise<number>;
 };
 
@@ -30,7 +30,7 @@
 	readonly digests: readonly string[];
 };
 
-/** The origin names chunks only; the digest over their digests stands for the whole. */
+/** The origin publishes digests of chunks only; a digest over all of them identifies the version as a whole. */
 const manifestOf = ({digests, chunkBytes, model, version}: StagedWeightsOptions): Manifest => ({
 	formatVersion: 1, sizeBytes: digests.length * chunkBytes, chunkSizeBytes: chunkBytes,
 	chunkDigests: digests.map(digest => `sha256:${digest}`), wholeDigest: sha256(`${model}@${version}:${digests.join(',')}`),
@@ -41,38 +41,38 @@
 	const manifest = manifestOf(options);
 	const chunks = new Map<number, Uint8Array>();
 
-	const isRight = (chunk: number, data: Uint8Array): boolean => createHash('sha256').update(data).digest('hex') === digests[chunk];
+	const matchesDigest = (chunk: number, data: Uint8Array): boolean => createHash('sha256').update(data).digest('hex') === digests[chunk];
 
 	return {
 		model, version, manifest, manifestId: manifestIdOf(manifest),
 		heldChunks: () => [...chunks.keys()],
 		isComplete: () => chunks.size === digests.length,
 		async put(chunk, data) {
-			if (!isRight(chunk, data)) {
+			if (!matchesDigest(chunk, data)) {
 				return false;
 			}
 
 			chunks.set(chunk, data);
-			// An engine that is down stages nothing; `repair` does it before the order.
+			// Staging fails while the engine is down; `repair` stages the chunk before the load order.
 			await engine.putChunk(model, chunk, data).catch(() => undefined);
 			return true;
 		},
 		read: chunk => chunks.get(chunk) ?? null,
-		async adopt() {
+		async readStaged() {
 			for (const chunk of digests.keys()) {
 				const data = chunks.has(chunk) ? null : await engine.getChunk(model, chunk);
-				if (data !== null && isRight(chunk, data)) {
+				if (data !== null && matchesDigest(chunk, data)) {
 					chunks.set(chunk, data);
 				}
 			}
 		},
 		async repair() {
 			let repaired = 0;
-			for (const [chunk, right] of chunks) {
+			for (const [chunk, verified] of chunks) {
 				const staged = await engine.getChunk(model, chunk);
-				if (staged === null || !isRight(chunk, staged)) {
+				if (staged === null || !matchesDigest(chunk, staged)) {
 					repaired++;
-					await engine.putChunk(model, chunk, right);
+					await engine.putChunk(model, chunk, verified);
 				}
 			}
 
--- a/packages/gateway/src/agent/version-loader.ts
+++ b/packages/gateway/src/agent/version-loader.ts
@@ -3,77 +3,78 @@
 import type {EngineClient, EngineState} from './engine-client.js';
 import type {StagedWeights} from './staged-weights.js';
 
-/** What is wanted of the engine now. */
+/** The version that the engine should load now. */
 export type LoadGoal = {
 	readonly profile: EngineProfile;
 	readonly origin: OriginProfile;
 	readonly version: number;
-	/** How long ago the version was named; `null` if it never was. */
+	/** Time since the version was named; `null` if it never was. */
 	readonly namedAgeMs: number | null;
 	/**
-	 * Whether the version is surely the one that is wanted. Until then nothing is
-	 * fetched; what the engine's host still holds of it after a loss of power is read
-	 * and, if it is whole, loaded: half a second before it is sure.
+	 * Whether the version is confirmed to be the wanted one. Until then nothing is
+	 * fetched, but chunks still staged on the host after a power loss are read and,
+	 * if complete, loaded. This starts serving half a second before confirmation.
 	 */
-	readonly isSure: boolean;
+	readonly isConfirmed: boolean;
 };
 
 export type VersionLoaderOptions = {
 	readonly engine: EngineClient;
 	readonly logger: Logger;
-	/** No request begins on older weights later than this after newer ones were named. */
+	/** Time after a version is named until no request may begin on older weights. */
 	readonly dueMs: number;
 	goal(): LoadGoal | null;
-	/** The engine's state as last read; `null` while it cannot be reached. */
+	/** The engine's state at the last poll; `null` while it is unreachable. */
 	engineState(): EngineState | null;
-	/** The chunks of a version, from wherever they are; `null` while its digests are not known. */
+	/** Opens the chunks of a version, whatever their source; `null` while its digests are unknown. */
 	openWeights(goal: LoadGoal): Promise<StagedWeights | null>;
-	/** Asks the core whether the engine may leave service. */
-	askPermit(isDone: boolean): Promise<boolean>;
-	/** Whether entries should send nothing more for now. */
+	/** Requests a permit from the core for the engine to leave service, or returns it if `isDone`. */
+	requestPermit(isDone: boolean): Promise<boolean>;
+	/** Sets whether entries should stop sending requests to the engine for now. */
 	setLeavingService(isLeaving: boolean): Promise<void>;
 };
 
 export type VersionLoader = {
-	/** One look at what is to be done; does nothing while the one before is under way. */
+	/** Performs the next step towards the wanted version; does nothing while the previous call is in progress. */
 	step(): Promise<void>;
 };
 
-/** Finishing what runs takes a second or so and loading a third of one: an engine that has no permit by then goes without. Earlier, all that are left would go at once. */
-const lastChanceMs = 1300;
-/** A refused or lost order is given again after this. */
+/** An engine without a permit this long before the due time proceeds without one: finishing running requests takes about 1 s and loading a third of a second. With an earlier limit, all remaining engines would leave service at once. */
+const permitBypassLeadMs = 1300;
+/** Delay before a refused or lost load order is retried. */
 const orderRetryMs = 300;
 /**
- * An engine leaves service once it has this share of the chunks: the last ones
- * come while it finishes what it runs. Without this it would finish a second
- * later, and so would the two thirds that wait for it.
+ * Share of the chunks with which an engine leaves service: the rest arrive while
+ * it finishes its running requests. Waiting for all chunks would make it finish a
+ * second later, and so would the two thirds of the engines that wait for a permit.
  */
-const leavingShare = 0.7;
-/** Chunks that do not come in this time are held up: the engine goes back into service. */
-const chunksWithinMs = 2500;
+const leaveServiceShare = 0.7;
+/** If the missing chunks do not arrive within this time, the engine returns to service. */
+const maxChunkWaitMs = 2500;
 /**
- * Of the engine's places. The longest streams take three times as long as usual
- * ones; once no more than these are left, they are cut and go on elsewhere.
+ * Share of the engine's slots. The longest streams take three times as long as
+ * usual ones; once no more than this share is running, the requests are aborted and
+ * continue on other endpoints.
  */
 const stragglerShare = 0.25;
-/** What is left after this is cut in any case. */
-const finishWithinMs = 1500;
+/** Requests still running after this time are aborted in any case. */
+const maxFinishMs = 1500;
 
-export const versionIn = (state: EngineState, model: string): number | null => state.models.find(held => held.model === model)?.version ?? null;
+export const heldVersionOf = (state: EngineState, model: string): number | null => state.models.find(held => held.model === model)?.version ?? null;
 
-/** Brings the engine beside the agent to the version that is wanted: whole, checked, and not all engines at once. */
+/** Brings the engine on the agent's host to the wanted version. It loads only complete, verified weights, and permits keep the engines of a service from leaving all at once. */
 export const createVersionLoader = (options: VersionLoaderOptions): VersionLoader => {
-	const {engine, logger, dueMs, goal, engineState, openWeights, askPermit, setLeavingService} = options;
+	const {engine, logger, dueMs, goal, engineState, openWeights, requestPermit, setLeavingService} = options;
 	let weights: StagedWeights | null = null;
 	let isFetching = false;
 	let isStepping = false;
 	let holdsPermit = false;
 	let orderedAtMs = Number.NEGATIVE_INFINITY;
-	/** Since when the engine has left service; `null` while it serves. */
-	let leftAtMs: number | null = null;
+	/** When the engine left service; `null` while it serves. */
+	let leftServiceAtMs: number | null = null;
 	let servedVersion: number | null = null;
 
-	const noteServed = (version: number | null): void => {
+	const recordServedVersion = (version: number | null): void => {
 		if (version !== servedVersion) {
 			servedVersion = version;
 			logger.event('BP4035', {version});
@@ -81,34 +82,34 @@
 	};
 
 	const mayLeaveService = async ({namedAgeMs}: LoadGoal): Promise<boolean> => {
-		const isLate = namedAgeMs !== null && namedAgeMs > dueMs - lastChanceMs;
-		holdsPermit ||= isLate || await askPermit(false);
+		const isLate = namedAgeMs !== null && namedAgeMs > dueMs - permitBypassLeadMs;
+		holdsPermit ||= isLate || await requestPermit(false);
 		return holdsPermit;
 	};
 
-	const leave = async (): Promise<void> => {
-		if (leftAtMs === null) {
-			leftAtMs = performance.now();
+	const leaveService = async (): Promise<void> => {
+		if (leftServiceAtMs === null) {
+			leftServiceAtMs = performance.now();
 			await setLeavingService(true);
 		}
 	};
 
-	/** Back into service, and the permit to whoever waits for it. */
-	const comeBack = async (): Promise<void> => {
-		if (leftAtMs !== null) {
-			leftAtMs = null;
+	/** Returns the engine to service and its permit to the core. */
+	const returnToService = async (): Promise<void> => {
+		if (leftServiceAtMs !== null) {
+			leftServiceAtMs = null;
 			await setLeavingService(false);
 		}
 
 		if (holdsPermit) {
 			holdsPermit = false;
-			await askPermit(true);
+			await requestPermit(true);
 		}
 	};
 
-	const order = async (wanted: LoadGoal, staged: StagedWeights, running: number): Promise<void> => {
+	const orderLoad = async (wanted: LoadGoal, staged: StagedWeights, running: number): Promise<void> => {
 		orderedAtMs = performance.now();
-		// Chunks may rot where they are staged, so they are read back right before the order.
+		// Staged chunks may become corrupted, so they are read back right before the load order.
 		const repaired = await staged.repair();
 		if (repaired > 0) {
 			logger.event('BP4032', {version: staged.version, chunks: repaired});
@@ -124,33 +125,33 @@
 		});
 	};
 
-	/** Whether what runs is done, but for a few that would hold the switch up. */
+	/** Whether running requests have finished, except for a few stragglers that would delay the switch. */
 	const hasFinished = ({profile: {slots}}: LoadGoal, {running, queued}: EngineState): boolean => {
-		const waitedMs = performance.now() - (leftAtMs ?? performance.now());
-		return (queued === 0 && running <= slots * stragglerShare) || waitedMs > finishWithinMs;
+		const waitedMs = performance.now() - (leftServiceAtMs ?? performance.now());
+		return (queued === 0 && running <= slots * stragglerShare) || waitedMs > maxFinishMs;
 	};
 
 	const advanceServing = async (wanted: LoadGoal, staged: StagedWeights, state: EngineState): Promise<void> => {
 		const share = staged.heldChunks().length / staged.manifest.chunkDigests.length;
-		if (leftAtMs === null && share >= leavingShare && await mayLeaveService(wanted)) {
-			await leave();
+		if (leftServiceAtMs === null && share >= leaveServiceShare && await mayLeaveService(wanted)) {
+			await leaveService();
 			return;
 		}
 
-		if (leftAtMs === null) {
+		if (leftServiceAtMs === null) {
 			return;
 		}
 
 		if (!staged.isComplete()) {
-			if (performance.now() - leftAtMs > chunksWithinMs) {
-				await comeBack();
+			if (performance.now() - leftServiceAtMs > maxChunkWaitMs) {
+				await returnToService();
 			}
 
 			return;
 		}
 
 		if (hasFinished(wanted, state)) {
-			await order(wanted, staged, state.running);
+			await orderLoad(wanted, staged, state.running);
 		}
 	};
 
@@ -162,15 +163,15 @@
 		}
 
 		const isOpen = weights?.version === wanted.version && weights.model === wanted.profile.model;
-		if (!isOpen || (wanted.isSure && !isFetching)) {
+		if (!isOpen || (wanted.isConfirmed && !isFetching)) {
 			weights = await openWeights(wanted);
-			isFetching = weights !== null && wanted.isSure;
+			isFetching = weights !== null && wanted.isConfirmed;
 		}
 
-		const served = versionIn(state, wanted.profile.model);
-		noteServed(served);
-		if (served !== null && served >= wanted.version) {
-			await comeBack();
+		const currentVersion = heldVersionOf(state, wanted.profile.model);
+		recordServedVersion(currentVersion);
+		if (currentVersion !== null && currentVersion >= wanted.version) {
+			await returnToService();
 			return;
 		}
 
@@ -178,10 +179,10 @@
 			return;
 		}
 
-		if (served !== null) {
+		if (currentVersion !== null) {
 			await advanceServing(wanted, weights, state);
 		} else if (weights.isComplete()) {
-			await order(wanted, weights, 0);
+			await orderLoad(wanted, weights, 0);
 		}
 	};
 
--- a/packages/gateway/src/agent/weight-exchange.ts
+++ b/packages/gateway/src/agent/weight-exchange.ts
@@ -18,80 +18,80 @@
 	readonly engine: EngineClient;
 	readonly origin: OriginClient;
 	readonly links: TransferLinks;
-	/** What the host's link should carry. */
+	/** Nominal bandwidth of the host's link. */
 	readonly linkBytesPerSecond: number;
 	readonly logger: Logger;
-	/** Agents beside other engines of the same model. */
+	/** Agents of other engines with the same model. */
 	peers(): readonly TransferPeer[];
 };
 
-/** `progressAtMs`: when a chunk came, or the exchange began. */
-type Opened = {readonly weights: StagedWeights; progressAtMs: number};
+/** `progressAtMs`: when the last chunk arrived or, before any did, when the exchange began. */
+type OpenWeights = {readonly weights: StagedWeights; progressAtMs: number};
 
-type Fetching = {readonly goal: LoadGoal; readonly opened: Opened};
+type ActiveFetch = {readonly goal: LoadGoal; readonly opened: OpenWeights};
 
-/** The weights of one version at a time on this host, exchanged with the hosts beside it. */
+/** The weights of one version at a time on this host, exchanged with peer hosts. */
 export type WeightExchange = {
-	/** Begins with a version, and leaves the one before; `null` while its digests cannot be had. One that is not surely wanted is not fetched, only read back. */
+	/** Starts the exchange of a version and stops that of the previous one; `null` while its digests are unavailable. An unconfirmed version is not fetched; its staged chunks are only read back. */
 	open(goal: LoadGoal): Promise<StagedWeights | null>;
-	hear(parameters: HaveParameters): void;
+	receiveHave(parameters: HaveParameters): void;
 	changePeers(): void;
-	/** The host's link is too narrow now for chunks beside what its engine sends. */
-	isResting(): boolean;
-	/** It was lately. */
+	/** Whether the host exchanges no chunks for now because its link is too congested to carry them along with the engine's traffic. */
+	isBackingOff(): boolean;
+	/** Whether the link was congested recently. */
 	isStrained(): boolean;
-	/** Chunks that are still to come; `null` while nothing is fetched, or nothing has come for long. */
+	/** Number of missing chunks; `null` if no version is open, or if chunks are missing and the fetch has stalled. */
 	missingChunks(): number | null;
-	/** A chunk for another host. */
+	/** Reads a chunk for another host. */
 	readChunk(manifestId: string, chunk: number): Uint8Array | null;
-	/** Digests for another host that cannot reach the origin. */
+	/** Chunk digests for another host that cannot reach the origin. */
 	digests(model: string, version: number): readonly string[] | null;
 	readonly counters: TransferCounters;
 	close(): void;
 };
 
-/** A drawer of the origin that is silent for this long is dead or cut off: a whole copy takes little more. */
+/** An origin fetcher that is silent for this long is down or disconnected; a complete copy takes little longer. */
 const takeoverMs = 900;
-/** The next host of a zone brings a chunk in if the one before has not: six chunks' time on a host's link. */
+/** Time after which the next host of a zone imports a chunk that the previous one has not; six chunks take this long on a host's link. */
 const importWaitMs = 350;
-/** More fetches side by side only lie in the queue of the same link, before what its engine is sent. */
+/** More concurrent fetches would only wait in the queue of the same link, ahead of the engine's requests. */
 const maxFetches = 3;
-/** Hosts begin with a version within a few crossings of each other; those that do not answer are not waited for. */
+/** Hosts start on a version within a few network latencies of each other; peers that have not answered by then are not waited for. */
 const greetingWaitMs = 80;
-/** A whole copy leaves the origin in this many times what its link needs at least: drawers share it, and each has a slower link. */
-const drawFactor = 1.2;
-const leastRedrawMs = 400;
+/** Ratio of the real duration of a complete copy from the origin to the minimum on its link: origin fetchers share that link, and each has a slower one. */
+const originCopyFactor = 1.2;
+const minRefetchMs = 400;
 const bitsPerByte = 8;
 const bitsPerMegabit = 1_000_000;
-/** A fetch is slow behind this many times what the link needs for all that run at once. */
-const slowFactor = 3;
+/** A fetch is slow if it takes more than this many times what the link needs for all concurrent fetches. */
+const slowFetchFactor = 3;
 const tickMs = 60;
-/** Without a chunk for this long, ten times what one takes on a host's link, nobody can tell when the last one comes. */
-const stalledMs = 1000;
+/** Without a chunk for this long, ten times what one takes on a host's link, completion cannot be estimated. */
+const fetchStallMs = 1000;
 
-const redrawMs = ({profile: {chunks, chunkBytes}, origin: {linkMbps}}: LoadGoal): number => Math.max(leastRedrawMs, drawFactor * chunks * chunkBytes * bitsPerByte / (linkMbps * 1000));
+const originRefetchMs = ({profile: {chunks, chunkBytes}, origin: {linkMbps}}: LoadGoal): number => Math.max(minRefetchMs, originCopyFactor * chunks * chunkBytes * bitsPerByte / (linkMbps * 1000));
 
-/** The hosts of the origin's zone draw, if their links carry what it sends. */
-const nearDrawers = ({origin: {zoneId, linkMbps}}: LoadGoal, linkBytesPerSecond: number): NearDrawers | null => zoneId === null
+/** Lets the hosts in the origin's zone fetch from it, provided enough of them to use its full bandwidth. */
+const nearOriginFetchers = ({origin: {zoneId, linkMbps}}: LoadGoal, linkBytesPerSecond: number): NearDrawers | null => zoneId === null
 	? null
 	: {zoneId, least: Math.ceil(linkMbps * bitsPerMegabit / (linkBytesPerSecond * bitsPerByte))};
 
-const originRestMs = 150;
+const originBackoffMs = 150;
 export const createWeightExchange = (options: WeightExchangeOptions): WeightExchange => {
 	const {selfAddress, zoneId, regionId, engine, origin, links, logger, peers} = options;
 	const counters: TransferCounters = {originBytes: 0, peerBytes: 0, lastFailure: ''};
-	const strain = createLinkStrain();
-	const standstill = createStandstill(performance.now());
-	const looking = setInterval(() => {
-		if (lookAtClock(standstill, performance.now())) {
-			resume();
+	const linkStrain = createLinkStrain();
+	const processStall = createStandstill(performance.now());
+	const stallCheckTimer = setInterval(() => {
+		if (lookAtClock(processStall, performance.now())) {
+			restartTransfer();
 		}
 	}, standstillLookMs);
-	let current: Opened | null = null;
+	let currentWeights: OpenWeights | null = null;
 	let transfer: Transfer | null = null;
-	let fetching: Fetching | null = null;
+	let activeFetch: ActiveFetch | null = null;
 
-	const currentOf = (model: string, version: number): Opened | null => current?.weights.model === model && current.weights.version === version ? current : null;
+	const findCurrent = (model: string, version: number): OpenWeights | null => currentWeights?.weights.model === model && currentWeights.weights.version === version ? currentWeights : null;
 
 	const findDigests = createDigestSource({origin, peers, logger});
 
@@ -103,65 +103,67 @@
 			return {type: 'data', data};
 		} catch (error) {
 			return {
-				type: 'failed', reason: 'unreachable', detail: (error as Error).message, retryAfterMs: originRestMs,
+				type: 'failed', reason: 'unreachable', detail: (error as Error).message, retryAfterMs: originBackoffMs,
 			};
 		}
 	};
 
 	/**
-	 * A host that was frozen finds that all its fetches took as long. Taken for a
-	 * narrow link, it would rest for seconds; where the only copy of a chunk lies
-	 * there, the version is whole everywhere only after that.
+	 * After a process stall, all fetches in progress appear as slow as the stall was
+	 * long. Treated as link congestion, this would make the host back off for seconds;
+	 * if it held the only copy of a chunk, every other host would wait for that long
+	 * to complete the version.
 	 */
-	const noteTook = (source: ChunkSource, tookMs: number, {profile: {chunkBytes}}: LoadGoal): void => {
+	const recordFetchDuration = (source: ChunkSource, tookMs: number, {profile: {chunkBytes}}: LoadGoal): void => {
 		const nowMs = performance.now();
-		if (hasStoodStill(standstill, nowMs - tookMs, nowMs)) {
+		if (hasStoodStill(processStall, nowMs - tookMs, nowMs)) {
 			return;
 		}
 
-		const slowMs = slowFactor * maxFetches * chunkBytes * 1000 / options.linkBytesPerSecond;
-		if (noteFetch(strain, source.type === 'peer' ? source.hostId : 'origin', tookMs > slowMs, nowMs)) {
+		const slowMs = slowFetchFactor * maxFetches * chunkBytes * 1000 / options.linkBytesPerSecond;
+		if (noteFetch(linkStrain, source.type === 'peer' ? source.hostId : 'origin', tookMs > slowMs, nowMs)) {
 			logger.event('BP4038', {tookMs: Math.round(tookMs), slowMs: Math.round(slowMs)});
 		}
 	};
 
-	const begin = async (goal: LoadGoal): Promise<Opened | null> => {
+	const stageVersion = async (goal: LoadGoal): Promise<OpenWeights | null> => {
 		const digests = await findDigests(goal);
 		if (digests === null) {
 			return null;
 		}
 
-		const begun = createStagedWeights({
+		const staged = createStagedWeights({
 			engine, model: goal.profile.model, version: goal.version, chunkBytes: goal.profile.chunkBytes, digests,
 		});
-		// Only then is it known what is missing.
-		await begun.adopt();
-		return {weights: begun, progressAtMs: performance.now()};
+		// The missing chunks are known only after the staged ones are read.
+		await staged.readStaged();
+		return {weights: staged, progressAtMs: performance.now()};
 	};
 
 	/**
-	 * The others have given this host up while it stood still, for up to half a minute,
-	 * and with it chunks that it alone had drawn. A new exchange greets them all.
+	 * During a process stall, peers mark this host as down for up to half a minute,
+	 * and with it any chunks that only this host has fetched. A new transfer greets
+	 * all peers, so that they use it again.
 	 */
-	const resume = (): void => {
-		if (fetching !== null && transfer !== null) {
+	const restartTransfer = (): void => {
+		if (activeFetch !== null && transfer !== null) {
 			transfer.close();
-			transfer = startTransfer(fetching);
+			transfer = startTransfer(activeFetch);
 		}
 	};
 
-	const startTransfer = ({goal, opened}: Fetching): Transfer => createTransfer({
+	const startTransfer = ({goal, opened}: ActiveFetch): Transfer => createTransfer({
 		store: opened.weights, self: {hostId: selfAddress, zoneId, regionId}, selfAddress: () => selfAddress,
 		sources: {origin: goal.origin.address, store: null}, originCopies: 1, peers: peers(), links, counters, logger, tickMs,
 		swarm: {
-			takeoverMs, importWaitMs, maxFetches, maxFetchesPerPeer: 1, greetingWaitMs, redrawMs: redrawMs(goal), nearDrawers: nearDrawers(goal, options.linkBytesPerSecond),
+			takeoverMs, importWaitMs, maxFetches, maxFetchesPerPeer: 1, greetingWaitMs, redrawMs: originRefetchMs(goal), nearDrawers: nearOriginFetchers(goal, options.linkBytesPerSecond),
 		},
 		fetchFromOrigin: fetchFromOrigin(goal),
 		onFetched(source, tookMs) {
 			opened.progressAtMs = performance.now();
-			noteTook(source, tookMs, goal);
+			recordFetchDuration(source, tookMs, goal);
 		},
-		restMs: () => strainRestMs(strain, performance.now()),
+		restMs: () => strainRestMs(linkStrain, performance.now()),
 		onComplete() {
 			logger.event('BP4031', {version: goal.version, originBytes: counters.originBytes, peerBytes: counters.peerBytes});
 		},
@@ -170,48 +172,48 @@
 	return {
 		counters,
 		async open(goal) {
-			// Nobody wants the rest of the version before; its chunks would hold up the digests of this one on the links of this host and of the origin.
+			// The rest of the previous version is no longer needed, and its chunks would delay the digests of this one on the links of this host and of the origin.
 			transfer?.close();
 			transfer = null;
-			const opened = currentOf(goal.profile.model, goal.version) ?? await begin(goal);
+			const opened = findCurrent(goal.profile.model, goal.version) ?? await stageVersion(goal);
 			if (opened === null) {
 				return null;
 			}
 
-			current = opened;
+			currentWeights = opened;
 			const {weights} = opened;
 			logger.event('BP4030', {version: goal.version, heldChunks: weights.heldChunks().length, totalChunks: weights.manifest.chunkDigests.length});
-			if (goal.isSure) {
-				fetching = {goal, opened};
-				transfer = startTransfer(fetching);
+			if (goal.isConfirmed) {
+				activeFetch = {goal, opened};
+				transfer = startTransfer(activeFetch);
 			}
 
 			return weights;
 		},
-		hear(parameters) {
-			if (parameters.manifestId === current?.weights.manifestId) {
+		receiveHave(parameters) {
+			if (parameters.manifestId === currentWeights?.weights.manifestId) {
 				transfer?.hear(parameters);
 			}
 		},
 		changePeers() {
 			transfer?.changePeers(peers());
 		},
-		isResting: () => strainRestMs(strain, performance.now()) > 0,
-		isStrained: () => isStrained(strain, performance.now()),
+		isBackingOff: () => strainRestMs(linkStrain, performance.now()) > 0,
+		isStrained: () => isStrained(linkStrain, performance.now()),
 		missingChunks() {
-			if (current === null) {
+			if (currentWeights === null) {
 				return null;
 			}
 
-			const {weights, progressAtMs} = current;
+			const {weights, progressAtMs} = currentWeights;
 			const missing = weights.manifest.chunkDigests.length - weights.heldChunks().length;
-			const isStalled = performance.now() - progressAtMs > stalledMs || transfer?.isRestInReach() === false;
+			const isStalled = performance.now() - progressAtMs > fetchStallMs || transfer?.isRestInReach() === false;
 			return missing > 0 && isStalled ? null : missing;
 		},
-		readChunk: (manifestId, chunk) => manifestId === current?.weights.manifestId ? current.weights.read(chunk) : null,
-		digests: (model, version) => currentOf(model, version)?.weights.manifest.chunkDigests.map(digest => digest.slice('sha256:'.length)) ?? null,
+		readChunk: (manifestId, chunk) => manifestId === currentWeights?.weights.manifestId ? currentWeights.weights.read(chunk) : null,
+		digests: (model, version) => findCurrent(model, version)?.weights.manifest.chunkDigests.map(digest => digest.slice('sha256:'.length)) ?? null,
 		close() {
-			clearInterval(looking);
+			clearInterval(stallCheckTimer);
 			transfer?.close();
 		},
 	};
--- a/packages/gateway/src/link/configuration-holder.ts
+++ b/packages/gateway/src/link/configuration-holder.ts
@@ -2,11 +2,11 @@
 import type {Logger} from '@bitternpaddle/transport';
 import type {RequestProtocol} from './request-protocol.js';
 
-/** The newest configuration that this process has seen; it never goes back. */
+/** The newest configuration that this process has received; it is never replaced by an older one. */
 export type ConfigurationHolder = {
 	number(): number;
 	table(): RouteTable | null;
-	/** Takes a configuration if it is newer. */
+	/** Applies a configuration if it is newer and valid. */
 	take(document: {readonly number: number; readonly text: string}): void;
 };
 
--- a/packages/gateway/src/link/core-client.ts
+++ b/packages/gateway/src/link/core-client.ts
@@ -6,270 +6,270 @@
 
 export type CoreClientOptions = {
 	readonly self: Follower;
-	/** Core hosts to begin with; read at each round, since the settings may change. */
+	/** Initial core hosts; read at each synchronization, since the settings may change. */
 	seeds(): readonly string[];
 	readonly clock: Clock;
 	readonly logger: Logger;
-	/** How long a core host may keep a question open without news. @default 700 */
+	/** Maximum duration of a long poll without updates. @default 700 */
 	readonly waitMs?: number;
-	/** Number of the configuration that is held; -1 for none. */
+	/** Number of the configuration that this process holds; -1 for none. */
 	configurationNumber(): number;
-	/** Whether a newer configuration, of which a core host told, is to be fetched now. */
+	/** Whether to fetch a newer configuration that a core host announced. */
 	wantsConfiguration(): boolean;
 	onConfiguration(document: ConfigurationDocument): void;
-	/** `askedAtMs`: when the question left, by the clock. */
-	onResult(result: WatchResult, askedAtMs: number): void;
+	/** `requestedAtMs`: when the poll was sent, by `clock`. */
+	onResult(result: WatchResult, requestedAtMs: number): void;
 };
 
 export type CoreClient = {
-	/** Core hosts that are asked at present. */
+	/** Core hosts that are currently polled. */
 	addresses(): string[];
-	/** Those that answered within the last moments, the latest first. */
+	/** Core hosts that answered recently, the latest first. */
 	liveAddresses(): string[];
-	/** Asks all again at once, without waiting for news. */
+	/** Polls all core hosts again at once, without waiting for updates. */
 	refresh(): void;
 	close(): void;
 };
 
-type Lane = {
+type CoreConnection = {
 	epoch: string;
 	position: number;
 	rosterHash: string;
 	versionsHash: string;
 	zoneId: string;
-	/** Number of the newest configuration that this core host told of. */
-	toldNumber: number;
+	/** Number of the newest configuration that this core host announced. */
+	announcedNumber: number;
 	answeredAtMs: number;
 	isConnected: boolean;
-	/** Since when it has been connected without a break. */
+	/** Start of the current uninterrupted connection. */
 	connectedAtMs: number;
 	failures: number;
-	/** The question that is open was cut short to ask anew. */
+	/** The open poll was aborted so that a new one can start. */
 	isRefreshing: boolean;
 	abort: AbortController;
 };
 
-/** Behind the time that the other side may wait: two crossings between regions, and a busy core host. */
+/** Allowance beyond the long-poll duration: an inter-region round trip and a busy core host. */
 const answerSlackMs = 500;
-const retryMs = 100;
-const longestRetryMs = 800;
-/** A core host that is in no list any more and has not answered for this long is asked no more. */
+const initialRetryMs = 100;
+const maxRetryMs = 800;
+/** A core host that is in neither the seeds nor the roster and has not answered for this long is no longer polled. */
 const forgetAfterMs = 15_000;
-/** Behind the time that a question may stay open. */
+/** Time beyond the long-poll duration within which a core host counts as live after its last answer. */
 const liveSlackMs = 1800;
-/** A core host that has just started hears of all who follow it within this; entries ask every second, and retry within one. */
-const settleMs = 3000;
-const lookMs = 200;
-/** A core host of the own zone hears of a change this much later than the first at most; its bytes cost nothing. */
-const nearWaitMs = 20;
+/** Time in which a core host that has just started learns of all its followers; entries poll every second and retry within one. */
+const rosterWarmupMs = 3000;
+const syncIntervalMs = 200;
+/** Maximum lag of the core host in this process's zone behind the first one to announce a change; traffic within the zone is free. */
+const sameZoneWaitMs = 20;
 const fetchTimeoutMs = 800;
 
 const pause = async (waitMs: number): Promise<void> => new Promise(resolve => {
 	setTimeout(resolve, waitMs);
 });
 
-const createLane = (nowMs: number): Lane => ({
-	epoch: '', position: 0, rosterHash: '', versionsHash: '', zoneId: '', toldNumber: -1, answeredAtMs: nowMs, isConnected: false, connectedAtMs: nowMs, failures: 0, isRefreshing: false,
+const createConnection = (nowMs: number): CoreConnection => ({
+	epoch: '', position: 0, rosterHash: '', versionsHash: '', zoneId: '', announcedNumber: -1, answeredAtMs: nowMs, isConnected: false, connectedAtMs: nowMs, failures: 0, isRefreshing: false,
 	abort: new AbortController(),
 });
 
 /**
- * Follows every core host at once, each by a question that it keeps open until
- * there is news. So what one of them hears, or decides, is known here after one
- * crossing, and the loss of any of them delays nothing. A configuration, which
- * is large, is fetched from one of them, the nearest.
+ * Follows all core hosts concurrently, each by a long poll that is answered when there
+ * is an update. An update at any of them thus arrives here after one network latency,
+ * and the loss of any of them causes no delay. Configurations are large, so they are
+ * fetched from a single core host, the nearest.
  */
 export const createCoreClient = (options: CoreClientOptions): CoreClient => {
 	const {self, seeds, clock, logger, waitMs = 700, configurationNumber, wantsConfiguration, onConfiguration, onResult} = options;
-	const lanes = new Map<string, Lane>();
-	let named: readonly string[] = [];
+	const connections = new Map<string, CoreConnection>();
+	let rosterAddresses: readonly string[] = [];
 	let isClosed = false;
 	let isFetching = false;
-	/** The core host whose roster is held. */
-	let rosterFrom = '';
+	/** The core host that sent the current roster. */
+	let heldRosterAddress = '';
 
-	const ask = async (address: string, lane: Lane): Promise<void> => {
-		const askedAtMs = clock.nowMs();
-		const isFirst = lane.epoch === '';
-		const askedMs = isFirst || lane.isRefreshing ? 0 : waitMs;
-		lane.isRefreshing = false;
-		const answer = await callRpc<unknown>({
-			isPacked: true, address, method: 'gateway.watch', timeoutMs: askedMs + answerSlackMs, signal: lane.abort.signal,
+	const poll = async (address: string, connection: CoreConnection): Promise<void> => {
+		const requestedAtMs = clock.nowMs();
+		const isFirst = connection.epoch === '';
+		const pollWaitMs = isFirst || connection.isRefreshing ? 0 : waitMs;
+		connection.isRefreshing = false;
+		const response = await callRpc<unknown>({
+			isPacked: true, address, method: 'gateway.watch', timeoutMs: pollWaitMs + answerSlackMs, signal: connection.abort.signal,
 			params: {
-				follower: self, epoch: lane.epoch, position: lane.position, rosterHash: !isFirst && address === rosterSource() ? heldRosterHash(address, lane) : null,
-				versionsHash: lane.versionsHash, waitMs: askedMs,
-				configurationNumber: Math.max(lane.toldNumber, configurationNumber()),
+				follower: self, epoch: connection.epoch, position: connection.position, rosterHash: !isFirst && address === rosterSource() ? heldRosterHash(address, connection) : null,
+				versionsHash: connection.versionsHash, waitMs: pollWaitMs,
+				configurationNumber: Math.max(connection.announcedNumber, configurationNumber()),
 			},
 		});
-		const result = watchResultSchema.parse(answer);
-		lane.epoch = result.epoch;
-		lane.position = result.position;
-		lane.rosterHash = result.roster?.hash ?? lane.rosterHash;
-		lane.versionsHash = result.versionsHash;
-		lane.zoneId = result.zoneId;
-		lane.toldNumber = result.configurationNumber;
-		lane.answeredAtMs = clock.nowMs();
+		const result = watchResultSchema.parse(response);
+		connection.epoch = result.epoch;
+		connection.position = result.position;
+		connection.rosterHash = result.roster?.hash ?? connection.rosterHash;
+		connection.versionsHash = result.versionsHash;
+		connection.zoneId = result.zoneId;
+		connection.announcedNumber = result.configurationNumber;
+		connection.answeredAtMs = clock.nowMs();
 		if (result.roster !== null) {
-			named = result.roster.coreAddresses;
-			rosterFrom = address;
+			rosterAddresses = result.roster.coreAddresses;
+			heldRosterAddress = address;
 		}
 
-		onResult(result, askedAtMs);
+		onResult(result, requestedAtMs);
 		if (result.configurationNumber > configurationNumber() && wantsConfiguration()) {
 			void fetchConfiguration(address);
 		}
 	};
 
-	const nearestOf = (told: string): string => {
-		const wanted = lanes.get(told)?.toldNumber ?? 0;
-		const near = [...lanes].find(([, lane]) => lane.isConnected && lane.zoneId === self.zoneId && lane.toldNumber >= wanted);
-		return near?.[0] ?? told;
+	const nearestOf = (announcer: string): string => {
+		const wanted = connections.get(announcer)?.announcedNumber ?? 0;
+		const near = [...connections].find(([, connection]) => connection.isConnected && connection.zoneId === self.zoneId && connection.announcedNumber >= wanted);
+		return near?.[0] ?? announcer;
 	};
 
-	const fetchConfiguration = async (told: string): Promise<void> => {
+	const fetchConfiguration = async (announcer: string): Promise<void> => {
 		if (isFetching) {
 			return;
 		}
 
 		isFetching = true;
 		try {
-			if (lanes.get(told)?.zoneId !== self.zoneId && configurationNumber() !== -1) {
-				await pause(nearWaitMs);
+			if (connections.get(announcer)?.zoneId !== self.zoneId && configurationNumber() !== -1) {
+				await pause(sameZoneWaitMs);
 			}
 
-			const answer = await callRpc<unknown>({
-				address: nearestOf(told), method: 'gateway.configuration', params: {}, isPacked: true, timeoutMs: fetchTimeoutMs,
+			const response = await callRpc<unknown>({
+				address: nearestOf(announcer), method: 'gateway.configuration', params: {}, isPacked: true, timeoutMs: fetchTimeoutMs,
 			});
-			const document = configurationResultSchema.parse(answer);
+			const document = configurationResultSchema.parse(response);
 			if (document !== null && !isClosed) {
 				onConfiguration(document);
 			}
 		} catch (error) {
-			logger.event('BP4002', {core: told, reason: (error as Error).message});
+			logger.event('BP4002', {core: announcer, reason: (error as Error).message});
 		} finally {
 			isFetching = false;
 		}
 
-		const newest = [...lanes].find(([, lane]) => lane.isConnected && lane.toldNumber > configurationNumber());
+		const newest = [...connections].find(([, connection]) => connection.isConnected && connection.announcedNumber > configurationNumber());
 		if (newest !== undefined && !isClosed && wantsConfiguration()) {
-			await pause(nearWaitMs);
+			await pause(sameZoneWaitMs);
 			void fetchConfiguration(newest[0]);
 		}
 	};
 
 	/**
-	 * The one core host that rosters are taken from, the nearest: each of them makes a
-	 * roster of its own, and taken from five a fleet of hundreds would read five long ones
-	 * at each host that comes or goes. One that has just started knows hardly anybody yet:
-	 * an agent that believed it would send its reports to no entry for a second. So others
-	 * go before it, if there are any.
+	 * The single core host, the nearest, whose rosters are used. Each core host builds its
+	 * own roster, and with five sources a fleet of hundreds would read five long rosters
+	 * for each host that joins or leaves. A core host that has just started knows hardly
+	 * any followers yet: an agent that used its roster would send its reports to no entry
+	 * for a second. Other core hosts are therefore preferred, if there are any.
 	 */
 	const rosterSource = (): string | undefined => {
 		const nowMs = clock.nowMs();
-		const connected = [...lanes].filter(([, lane]) => lane.isConnected);
-		const settled = connected.filter(([, lane]) => nowMs - lane.connectedAtMs >= settleMs);
-		const usable = settled.length > 0 ? settled : connected;
-		const near = usable.find(([, lane]) => lane.zoneId === self.zoneId);
+		const connected = [...connections].filter(([, connection]) => connection.isConnected);
+		const warmedUp = connected.filter(([, connection]) => nowMs - connection.connectedAtMs >= rosterWarmupMs);
+		const usable = warmedUp.length > 0 ? warmedUp : connected;
+		const near = usable.find(([, connection]) => connection.zoneId === self.zoneId);
 		return (near ?? usable[0])?.[0];
 	};
 
-	/** Empty where the roster of another core host is held: this one's may differ, though it has not changed. */
-	const heldRosterHash = (address: string, lane: Lane): string => address === rosterFrom ? lane.rosterHash : '';
+	/** Empty if the current roster is from another core host: this one's roster may differ even if it has not changed. */
+	const heldRosterHash = (address: string, connection: CoreConnection): string => address === heldRosterAddress ? connection.rosterHash : '';
 
-	const isFollowed = (address: string, lane: Lane): boolean => !isClosed && lanes.get(address) === lane;
+	const isFollowed = (address: string, connection: CoreConnection): boolean => !isClosed && connections.get(address) === connection;
 
-	const follow = async (address: string, lane: Lane): Promise<void> => {
-		while (isFollowed(address, lane)) {
+	const follow = async (address: string, connection: CoreConnection): Promise<void> => {
+		while (isFollowed(address, connection)) {
 			try {
-				await ask(address, lane);
-				noteConnected(address, lane);
+				await poll(address, connection);
+				recordConnected(address, connection);
 			} catch (error) {
-				if (lane.isRefreshing) {
+				if (connection.isRefreshing) {
 					continue;
 				}
 
-				noteFailed(address, lane, error as Error);
-				await pause(Math.min(longestRetryMs, retryMs * (2 ** Math.min(lane.failures - 1, 4))));
+				recordFailure(address, connection, error as Error);
+				await pause(Math.min(maxRetryMs, initialRetryMs * (2 ** Math.min(connection.failures - 1, 4))));
 			}
 		}
 	};
 
-	const noteConnected = (address: string, lane: Lane): void => {
-		if (!lane.isConnected) {
+	const recordConnected = (address: string, connection: CoreConnection): void => {
+		if (!connection.isConnected) {
 			logger.event('BP4001', {core: address});
-			lane.connectedAtMs = clock.nowMs();
+			connection.connectedAtMs = clock.nowMs();
 		}
 
-		lane.isConnected = true;
-		lane.failures = 0;
+		connection.isConnected = true;
+		connection.failures = 0;
 	};
 
-	const noteFailed = (address: string, lane: Lane, error: Error): void => {
+	const recordFailure = (address: string, connection: CoreConnection, error: Error): void => {
 		if (isClosed) {
 			return;
 		}
 
-		lane.failures++;
+		connection.failures++;
 		const wasSource = address === rosterSource();
-		if (lane.isConnected) {
+		if (connection.isConnected) {
 			logger.event('BP4002', {core: address, reason: error.message});
 		}
 
-		lane.isConnected = false;
+		connection.isConnected = false;
 		const next = rosterSource();
 		if (wasSource && next !== undefined) {
-			// Its question is open without a wish for rosters.
-			askAnew(lanes.get(next)!);
+			// The open poll of the new source did not request rosters.
+			restartPoll(connections.get(next)!);
 		}
 	};
 
-	const askAnew = (lane: Lane): void => {
-		if (!lane.isRefreshing) {
-			lane.isRefreshing = true;
-			lane.abort.abort();
-			lane.abort = new AbortController();
+	const restartPoll = (connection: CoreConnection): void => {
+		if (!connection.isRefreshing) {
+			connection.isRefreshing = true;
+			connection.abort.abort();
+			connection.abort = new AbortController();
 		}
 	};
 
-	const look = (): void => {
+	const syncConnections = (): void => {
 		const nowMs = clock.nowMs();
-		const wanted = new Set([...seeds(), ...named].filter(address => address !== self.address));
+		const wanted = new Set([...seeds(), ...rosterAddresses].filter(address => address !== self.address));
 		for (const address of wanted) {
-			if (!lanes.has(address)) {
-				const lane = createLane(nowMs);
-				lanes.set(address, lane);
-				void follow(address, lane);
+			if (!connections.has(address)) {
+				const connection = createConnection(nowMs);
+				connections.set(address, connection);
+				void follow(address, connection);
 			}
 		}
 
-		for (const [address, lane] of lanes) {
-			if (!wanted.has(address) && nowMs - lane.answeredAtMs > forgetAfterMs) {
-				lanes.delete(address);
+		for (const [address, connection] of connections) {
+			if (!wanted.has(address) && nowMs - connection.answeredAtMs > forgetAfterMs) {
+				connections.delete(address);
 			}
 		}
 	};
 
-	look();
-	const timer = setInterval(look, lookMs);
+	syncConnections();
+	const timer = setInterval(syncConnections, syncIntervalMs);
 	return {
-		addresses: () => [...lanes.keys()],
+		addresses: () => [...connections.keys()],
 		liveAddresses() {
 			const nowMs = clock.nowMs();
-			return [...lanes]
-				.filter(([, lane]) => lane.isConnected && nowMs - lane.answeredAtMs < waitMs + liveSlackMs)
+			return [...connections]
+				.filter(([, connection]) => connection.isConnected && nowMs - connection.answeredAtMs < waitMs + liveSlackMs)
 				.toSorted(([, a], [, b]) => b.answeredAtMs - a.answeredAtMs)
 				.map(([address]) => address);
 		},
 		refresh() {
-			for (const lane of lanes.values()) {
-				askAnew(lane);
+			for (const connection of connections.values()) {
+				restartPoll(connection);
 			}
 		},
 		close() {
 			isClosed = true;
 			clearInterval(timer);
-			for (const lane of lanes.values()) {
-				lane.abort.abort();
+			for (const connection of connections.values()) {
+				connection.abort.abort();
 			}
 		},
 	};
--- a/packages/gateway/src/link/gossip.ts
+++ b/packages/gateway/src/link/gossip.ts
@@ -10,13 +10,13 @@
 	return chunks;
 };
 
-/** Draws up to `count` distinct peers at random. */
+/** Selects up to `count` distinct peers at random. */
 export const drawPeers = (peers: readonly string[], count: number, random: Random): string[] => {
-	const left = [...peers];
-	const drawn: string[] = [];
-	while (left.length > 0 && drawn.length < count) {
-		drawn.push(...left.splice(random.between(0, left.length - 1), 1));
+	const remaining = [...peers];
+	const sampled: string[] = [];
+	while (remaining.length > 0 && sampled.length < count) {
+		sampled.push(...remaining.splice(random.between(0, remaining.length - 1), 1));
 	}
 
-	return drawn;
+	return sampled;
 };
--- a/packages/gateway/src/link/methods.ts
+++ b/packages/gateway/src/link/methods.ts
@@ -3,47 +3,47 @@
 
 const heldModelSchema = z.object({model: z.string(), version: z.number()});
 
-/** An endpoint's announcement on its way between hosts. */
+/** An endpoint's announcement as sent between hosts. */
 export const agedAnnouncementSchema = z.object({
 	id: z.string(), serviceName: z.string(), address: z.string(), zoneId: z.string(), slots: z.number(), state: z.enum(['ready', 'draining', 'gone']),
 	models: z.array(heldModelSchema).readonly(), startedAtMs: z.number(), sequence: z.number(), ageMs: z.number(),
 });
 
-/** A process that follows the core; `address` is where other processes reach it. */
+/** A process that follows the core; other processes reach it at `address`. */
 export const followerSchema = z.object({
 	role: z.enum(['core', 'entry', 'agent']),
 	address: z.string(),
 	zoneId: z.string(),
 	regionId: z.string(),
-	/** Of an agent: the endpoint beside it. */
+	/** For an agent: the endpoint on its host. */
 	endpointAddress: z.string().nullable(),
-	/** Of an agent: the service of that endpoint. */
+	/** For an agent: the service of that endpoint. */
 	serviceName: z.string().nullable(),
 });
 export type Follower = z.infer<typeof followerSchema>;
 
-/** `gateway.watch`: waits for news of a core host, and says who asks. */
+/** `gateway.watch`: long poll for updates of a core host, which also registers the follower. */
 export const watchParametersSchema = z.object({
 	follower: followerSchema,
-	/** Start of the core process that `position` belongs to. */
+	/** Identifies the run of the core process to which `position` applies. */
 	epoch: z.string(),
 	position: z.number(),
-	/** Number of the configuration that the follower holds or has heard of; -1 for none. */
+	/** Number of the newest configuration that the follower holds or that was announced to it; -1 for none. */
 	configurationNumber: z.number(),
 	versionsHash: z.string(),
-	/** Hash of the roster that it knows, so that one is sent only when it changes; `null`: it takes rosters from another core host. */
+	/** Hash of the follower's roster, so that a roster is sent only when it changes; `null` if it uses rosters from another core host. */
 	rosterHash: z.string().nullable(),
 	waitMs: z.number(),
 });
 export type WatchParameters = z.infer<typeof watchParametersSchema>;
 
-/** Who belongs to the core, and those who follow it that the reader has to do with. */
+/** The core hosts, and the followers that are relevant to the reader. */
 export const rosterSchema = z.object({
 	hash: z.string(),
 	coreAddresses: z.array(z.string()),
-	/** Entries that follow the core. */
+	/** Number of entries that follow the core. */
 	entryCount: z.number(),
-	/** For an entry: the entries. For an agent also the agents of its service. */
+	/** For an entry, all entries; for an agent, also the agents of its service. */
 	followers: z.array(followerSchema),
 });
 export type Roster = z.infer<typeof rosterSchema>;
@@ -52,32 +52,32 @@
 	epoch: z.string(),
 	position: z.number(),
 	announcements: z.array(agedAnnouncementSchema).readonly(),
-	/** Of the core host. */
+	/** Availability zone of the core host. */
 	zoneId: z.string(),
-	/** Of the newest configuration that this core host knows; -1 for none. It is fetched from one core host only. */
+	/** Number of the newest configuration that this core host knows; -1 for none. The configuration is fetched from one core host only. */
 	configurationNumber: z.number(),
 	versionsHash: z.string(),
-	/** How long ago this core host surely held all that was acknowledged; `null` if that is too long ago to count. */
+	/** Time since this core host was last confirmed to hold all acknowledged documents; `null` if it cannot confirm that. */
 	freshAgeMs: z.number().nullable(),
-	/** Weights that were named, and for how long this host has known it. */
+	/** Named versions of weights, and for how long this core host has known each of them. */
 	versions: z.array(z.object({model: z.string(), version: z.number(), ageMs: z.number()})),
 	roster: rosterSchema.nullable(),
 });
 export type WatchResult = z.infer<typeof watchResultSchema>;
 
-/** `gateway.configuration`: the newest that a core host knows. */
+/** `gateway.configuration`: the newest configuration that a core host knows. */
 export const configurationResultSchema = z.object({number: z.number(), text: z.string()}).nullable();
 export type ConfigurationDocument = NonNullable<z.infer<typeof configurationResultSchema>>;
 
-/** `gateway.submit`, at the leader: puts a document in order. */
+/** `gateway.submit`, at the leader: appends a document to the log. */
 export const submitParametersSchema = z.object({document: documentSchema});
 export const submitResultSchema = z.object({outcome: z.enum(['stored', 'known', 'conflict'])});
 export type SubmitOutcome = z.infer<typeof submitResultSchema>['outcome'];
 
-/** `gateway.read`, at the leader: the configuration that is surely the newest. */
+/** `gateway.read`, at the leader: the configuration that is confirmed to be the newest. */
 export const readParametersSchema = z.object({});
 export const readResultSchema = z.object({text: z.string().nullable()});
 
-/** `gateway.permit`, at the leader: asks whether the endpoint beside an agent may leave service to load a version. */
+/** `gateway.permit`, at the leader: requests a permit for an agent's endpoint to leave service and load a version, or returns it. */
 export const permitParametersSchema = z.object({agentAddress: z.string(), serviceName: z.string(), isDone: z.boolean()});
 export const permitResultSchema = z.object({isGranted: z.boolean()});
--- a/packages/gateway/src/link/request-protocol.ts
+++ b/packages/gateway/src/link/request-protocol.ts
@@ -2,45 +2,45 @@
 import type {LimitNotice, PauseNotice} from '@bitternpaddle/coordination';
 import type {RoutingConfiguration} from '@bitternpaddle/state';
 
-/** Names of headers, in lower case, between callers, entries and endpoints. */
+/** Lower-case names of the headers exchanged between callers, entries and endpoints. */
 export type HeaderNames = {
-	/** Tells requests apart; an endpoint repeats it in its answer. */
+	/** Id of a request; an endpoint repeats it in its answer. */
 	readonly requestId: string;
-	/** How long the sender waits, in ms. */
+	/** How long the sender waits for an answer, in ms. */
 	readonly deadlineMs: string;
-	/** The start of an endpoint that a request is meant for; any other refuses it. */
+	/** The run of an endpoint for which a request is intended; any other run refuses it. */
 	readonly expectedEndpoint: string;
-	/** The version of the weights that a request is meant for. */
+	/** The version of the weights for which a request is intended. */
 	readonly expectedVersion: string;
-	/** The team whose key the caller holds. */
+	/** The team to which the caller's key belongs. */
 	readonly team: string;
-	/** The endpoint's word that it did not run the request. */
+	/** Set by an endpoint that did not run the request. */
 	readonly notRun: string;
-	/** The endpoint's signature under an answer. */
+	/** The endpoint's signature of an answer. */
 	readonly signature: string;
-	/** 0 to 9; 0 goes first in the endpoint's queue. */
+	/** Priority from 0 to 9; 0 is served first from the endpoint's queue. */
 	readonly urgency: string;
-	/** What the endpoint is doing, see `readActive`. */
+	/** The endpoint's load, see `readActive`. */
 	readonly load: string;
-	/** The last event that a caller of a broken stream has. */
+	/** Id of the last event that the caller received before its stream broke. */
 	readonly lastEventId: string;
 };
 
-/** An invalid configuration's problems, or the configuration. */
+/** A decoded configuration, or the problems of an invalid one. */
 export type DecodedConfiguration
 	= | {readonly type: 'configuration'; readonly configuration: RoutingConfiguration}
 		| {readonly type: 'invalid'; readonly problems: readonly string[]};
 
-/** Tokens of the prompt, and the most that the answer may have; 0 for what a request does not tell. */
+/** Number of prompt tokens and maximum number of answer tokens; 0 for a value that the request does not give. */
 export type RequestTokens = {readonly prompt: number; readonly mostAnswer: number};
 
-/** What an entry must know of the protocol that its callers and endpoints speak. */
+/** The protocol of callers and endpoints, as far as an entry needs it. */
 export type RequestProtocol = {
 	readonly headers: HeaderNames;
 	decodeConfiguration(text: string): DecodedConfiguration;
-	/** What a request tells of its size in tokens. */
+	/** Reads the token counts in a request's headers. */
 	readTokens(headers: http.IncomingHttpHeaders): RequestTokens;
-	/** Running and waiting requests in the load header; `null` if it cannot be read. */
+	/** Parses the number of running and waiting requests in the load header; `null` if it is invalid. */
 	readActive(text: string): number | null;
 	/** The request rate limit advertised in the headers of an endpoint's answer. */
 	readLimit(headers: http.IncomingHttpHeaders): LimitNotice;
--- a/packages/gateway/test/core-client.test.ts
+++ b/packages/gateway/test/core-client.test.ts
@@ -11,13 +11,13 @@
 	role: 'agent', address: '127.0.0.1:1', zoneId: 'near', regionId: 'r', endpointAddress: null, serviceName: 's',
 };
 
-/** A core host that answers at once, or after the wait that is asked for; counts its questions, and those that ask for a roster. */
+/** A fake core host that answers at once with a changed roster, otherwise after the requested wait; it counts all polls and those that request a roster. */
 const startCore = async (address: string, {zoneId, epoch, roster}: {zoneId: string; epoch: string; roster: Roster}) => {
-	const asked = {all: 0, roster: 0};
+	const polls = {all: 0, roster: 0};
 	const rpc = createRpcServer();
 	rpc.method('gateway.watch', watchParametersSchema, async ({waitMs, rosterHash}): Promise<WatchResult> => {
-		asked.all++;
-		asked.roster += rosterHash === null ? 0 : 1;
+		polls.all++;
+		polls.roster += rosterHash === null ? 0 : 1;
 		await delay(rosterHash === null || rosterHash === roster.hash ? waitMs : 0);
 		return {
 			epoch, position: 0, announcements: [], zoneId, configurationNumber: -1, versionsHash: '{}', freshAgeMs: null, versions: [],
@@ -25,7 +25,7 @@
 		};
 	});
 	const server = await createHttpServer({listen: address, handler: async (request, response) => rpc.serve(request, response)});
-	return {asked, stop: server.destroy};
+	return {polls, stop: server.destroy};
 };
 
 const until = async (check: () => boolean): Promise<void> => {
@@ -49,10 +49,10 @@
 	return hashes;
 };
 
-// The core host of an agent's zone starts again, and is asked by the agent before the
-// entries have found it anew. Its roster has nobody in it: taken for the truth, the agent
-// would send no reports to any entry, and its engine would look lost to all of them.
-t.test('a core host that has just started tells nobody who follows the core', async t => {
+// The core host in an agent's zone restarts, and the agent polls it before the entries
+// have reconnected. Its roster is empty: if the agent used it, it would send no reports
+// to any entry, and all of them would take its engine for lost.
+t.test('the roster of a core host that has just started is not used', async t => {
 	const [far, near] = await freeAddresses(2) as [string, string];
 	const rosterOf = (hash: string): Roster => ({
 		hash, coreAddresses: [far, near], entryCount: 1, followers: [],
@@ -62,16 +62,16 @@
 	t.teardown(farCore.stop);
 	const hashes = follow(t, [far, near]);
 	await until(() => hashes.includes('near') || hashes.includes('far'));
-	// Both have been connected for a while.
+	// Both core hosts pass the roster warm-up time.
 	await delay(3200);
 	await until(() => hashes.at(-1) === 'near');
 	first.stop();
 	await until(() => hashes.at(-1) === 'far');
 	const second = await startCore(near, {zoneId: 'near', epoch: 'n2', roster: rosterOf('empty')});
 	t.teardown(second.stop);
-	await until(() => second.asked.all >= 10);
-	t.equal(second.asked.roster, 0);
+	await until(() => second.polls.all >= 10);
+	t.equal(second.polls.roster, 0);
 	t.notOk(hashes.includes('empty'));
 	await until(() => hashes.at(-1) === 'empty');
-	t.pass('and is believed once it has been there for a while');
+	t.pass('its roster is used after the warm-up time');
 });
--- a/packages/gateway/test/version-loader.test.ts
+++ b/packages/gateway/test/version-loader.test.ts
@@ -11,7 +11,7 @@
 const chunkOf = (chunk: number): Buffer => Buffer.alloc(chunkBytes, chunk + 1);
 const digests = [0, 1, 2, 3].map(chunk => createHash('sha256').update(chunkOf(chunk)).digest('hex'));
 
-/** An engine that stages what it is given and loads at once. */
+/** A fake engine that stages every chunk it receives and loads immediately. */
 const createEngine = (held: number | null) => {
 	const staged = new Map<number, Buffer>();
 	const orders: Array<{version: number; mode: string}> = [];
@@ -46,10 +46,10 @@
 	},
 	version: 2,
 	namedAgeMs: 1000,
-	isSure: true,
+	isConfirmed: true,
 };
 
-const prepare = (held: number | null, isGranted = true) => {
+const createLoader = (held: number | null, isGranted = true) => {
 	const engine = createEngine(held);
 	const weights: StagedWeights = createStagedWeights({
 		engine: engine.client, model: 'm', version: 2, chunkBytes, digests,
@@ -58,7 +58,7 @@
 	const permits: boolean[] = [];
 	const loader = createVersionLoader({
 		engine: engine.client, logger: silentLogger, dueMs: 8000, goal: () => goal, engineState: engine.stateOf, openWeights: async () => weights,
-		async askPermit(isDone) {
+		async requestPermit(isDone) {
 			permits.push(isDone);
 			return isGranted;
 		},
@@ -77,10 +77,10 @@
 	};
 };
 
-// A chunk rots where it is staged, after it was checked on its way in. An engine
-// loads what is staged, whatever it is: callers would be answered by mixed weights.
-t.test('a chunk that rotted is replaced before the order', async t => {
-	const {engine, loader, put} = prepare(null);
+// A staged chunk becomes corrupted after it was verified on arrival. The engine loads
+// staged chunks without verification, so callers would get answers from mixed weights.
+t.test('a corrupted staged chunk is replaced before the load order', async t => {
+	const {engine, loader, put} = createLoader(null);
 	await put(0, 1, 2, 3);
 	engine.staged.set(2, Buffer.alloc(chunkBytes, 99));
 	await loader.step();
@@ -88,67 +88,68 @@
 	t.same([...engine.staged].toSorted(([a], [b]) => a - b).map(([, data]) => data), [0, 1, 2, 3].map(chunk => chunkOf(chunk)));
 });
 
-t.test('no order is given while a chunk is missing or wrong', async t => {
-	const {engine, weights, loader, put} = prepare(null);
+t.test('no load order is sent while a chunk is missing or invalid', async t => {
+	const {engine, weights, loader, put} = createLoader(null);
 	await put(0, 1, 2);
-	t.notOk(await weights.put(3, chunkOf(7)), 'wrong bytes are not taken');
+	t.notOk(await weights.put(3, chunkOf(7)), 'bytes that do not match the digest are rejected');
 	await loader.step();
 	t.same(engine.orders, []);
 });
 
-// An engine serves an older version. It leaves service before its last chunks are
-// there, finishes what it runs, and is ordered to load only then.
-t.test('an engine leaves service, finishes and loads', async t => {
-	const {engine, loader, leaving, permits, put} = prepare(1);
+// An engine serves an older version. It leaves service before its last chunks
+// arrive, finishes its running requests, and receives the load order only then.
+t.test('an engine leaves service, finishes running requests and loads', async t => {
+	const {engine, loader, leaving, permits, put} = createLoader(1);
 	await put(0, 1, 2);
 	engine.state.running = 9;
 	await loader.step();
-	t.same([leaving, permits], [[true], [false]], 'with three chunks of four it leaves');
+	t.same([leaving, permits], [[true], [false]], 'leaves service with three of four chunks');
 	await put(3);
 	await loader.step();
-	t.same(engine.orders, [], 'nine still run');
+	t.same(engine.orders, [], 'nine requests are still running');
 	engine.state.running = 3;
 	await loader.step();
-	t.same(engine.orders, [{version: 2, mode: 'cutRunning'}], 'three stragglers go on elsewhere');
+	t.same(engine.orders, [{version: 2, mode: 'cutRunning'}], 'three stragglers continue on other endpoints');
 	await delay(1);
 	await loader.step();
-	t.same([leaving, permits], [[true, false], [false, true]], 'it serves again, and the permit goes back');
+	t.same([leaving, permits], [[true, false], [false, true]], 'returns to service and returns the permit');
 });
 
 t.test('without a permit an engine stays in service', async t => {
-	const {engine, loader, leaving, put} = prepare(1, false);
+	const {engine, loader, leaving, put} = createLoader(1, false);
 	await put(0, 1, 2, 3);
 	await loader.step();
 	t.same([leaving, engine.orders], [[], []]);
 });
 
-// Everything lost power, and which version is wanted is not sure yet. The engine still
-// has all chunks of the version that a core host names: loaded now, it serves half a
-// second before it is sure. Once that is known the version is opened again, to be fetched.
-t.test('what is staged whole is loaded before the version is sure', async t => {
+// After a power loss of all hosts, the wanted version is not confirmed yet. The engine
+// still has all chunks of the version that a core host reports; loading it now starts
+// service half a second before confirmation. Once confirmed, the version is opened
+// again to be fetched.
+t.test('a completely staged version is loaded before it is confirmed', async t => {
 	const engine = createEngine(null);
 	const weights = createStagedWeights({
 		engine: engine.client, model: 'm', version: 2, chunkBytes, digests,
 	});
 	const opened: boolean[] = [];
-	let isSure = false;
+	let isConfirmed = false;
 	const loader = createVersionLoader({
-		engine: engine.client, logger: silentLogger, dueMs: 8000, goal: () => ({...goal, isSure}), engineState: engine.stateOf, askPermit: async () => true,
+		engine: engine.client, logger: silentLogger, dueMs: 8000, goal: () => ({...goal, isConfirmed}), engineState: engine.stateOf, requestPermit: async () => true,
 		async openWeights(wanted) {
-			opened.push(wanted.isSure);
+			opened.push(wanted.isConfirmed);
 			return weights;
 		},
 		setLeavingService: async () => undefined,
 	});
 	await loader.step();
-	t.same(engine.orders, [], 'nothing is staged yet');
+	t.same(engine.orders, [], 'no load order before any chunk is staged');
 	for (const chunk of [0, 1, 2, 3]) {
 		await weights.put(chunk, chunkOf(chunk));
 	}
 
 	await loader.step();
 	t.same(engine.orders, [{version: 2, mode: 'afterRunning'}]);
-	isSure = true;
+	isConfirmed = true;
 	await loader.step();
 	await loader.step();
 	t.same(opened, [false, true]);
--- a/packages/gateway/test/wanted-versions.test.ts
+++ b/packages/gateway/test/wanted-versions.test.ts
@@ -3,25 +3,25 @@
 
 const model = 'm';
 
-// All hosts lose power and start again. The core hosts hold a snapshot from before
-// the newest version was named, and elect a leader 0.7 s later. Agents that believed
-// them, or took the first version for the wanted one, drew it for two seconds, and
+// All hosts lose power and restart. The core hosts hold a snapshot from before the
+// newest version was named, and elect a leader 0.7 s later. Agents that relied on it, or
+// assumed that the first version is wanted, fetched that version for two seconds, and
 // callers were refused for as long.
-t.test('which version is wanted is not settled before a core host surely knows', async t => {
+t.test('the wanted version is not determined before a core host confirms it', async t => {
 	const versions = createWantedVersions({dueMs: 8000, startedAtMs: 1000});
-	t.notOk(versions.isSettled(1000), 'nothing was heard');
+	t.notOk(versions.isDetermined(1000), 'no result received');
 	versions.hear({versions: [], freshAgeMs: null}, 1100);
-	t.notOk(versions.isSettled(1100), 'a core host answered that does not know the newest state');
+	t.notOk(versions.isDetermined(1100), 'result of a core host that cannot confirm the newest state');
 	versions.hear({versions: [{model, version: 2, ageMs: 0}], freshAgeMs: 5}, 1700);
-	t.ok(versions.isSettled(1700));
+	t.ok(versions.isDetermined(1700));
 	t.equal(versions.newest(model), 2);
 });
 
-// The core has lost its majority for long. Engines that restart meanwhile are
-// filled all the same, with what is known.
-t.test('without any core host that knows, what is known is gone by after a while', async t => {
+// The core has no majority for a long time. Engines that restart meanwhile must still
+// load weights, of the newest known version.
+t.test('the newest known version is used after a while without confirmation', async t => {
 	const versions = createWantedVersions({dueMs: 8000, startedAtMs: 1000});
 	versions.hear({versions: [], freshAgeMs: null}, 1100);
-	t.notOk(versions.isSettled(4900));
-	t.ok(versions.isSettled(5000));
+	t.notOk(versions.isDetermined(4900));
+	t.ok(versions.isDetermined(5000));
 });
--- a/packages/gateway/test/weight-exchange.test.ts
+++ b/packages/gateway/test/weight-exchange.test.ts
@@ -27,28 +27,28 @@
 	},
 	version,
 	namedAgeMs: 0,
-	isSure: true,
+	isConfirmed: true,
 });
 
-// A newer version is named while an older one is on its way. The origin's link is
-// full of the older one's chunks, and the digests of the newer one lay behind them
-// for two seconds: nothing of it could be fetched meanwhile.
-t.test('chunks of the version before are given up before the digests of the next are asked for', async t => {
-	const fetching: AbortSignal[] = [];
-	let fetchingAtDigests: AbortSignal[] = [];
+// A newer version is named while an older one is being fetched. Chunks of the older
+// one fill the origin's link, and the digests of the newer one were queued behind them
+// for two seconds, during which none of its chunks could be fetched.
+t.test('fetches of the previous version are aborted before the digests of the next are requested', async t => {
+	const fetchSignals: AbortSignal[] = [];
+	let activeAtDigestRequest: AbortSignal[] = [];
 	const origin: OriginClient = {
 		async digests(_, __, version) {
 			if (version === 2) {
-				fetchingAtDigests = fetching.filter(({aborted}) => !aborted);
+				activeAtDigestRequest = fetchSignals.filter(({aborted}) => !aborted);
 			}
 
 			return Array.from({length: 4}, () => '0'.repeat(64));
 		},
 		async chunk(_, {signal}) {
-			fetching.push(signal);
+			fetchSignals.push(signal);
 			return new Promise((resolve, reject) => {
 				signal.addEventListener('abort', () => {
-					reject(new Error('given up'));
+					reject(new Error('aborted'));
 				});
 			});
 		},
@@ -62,19 +62,19 @@
 		links.close();
 	});
 	await exchange.open(goalOf(1));
-	while (fetching.length === 0) {
+	while (fetchSignals.length === 0) {
 		await delay(5);
 	}
 
 	await exchange.open(goalOf(2));
-	t.same(fetchingAtDigests, []);
+	t.same(activeAtDigestRequest, []);
 });
 
-// Everything lost power. The core has no leader yet, so which version is wanted is not
-// sure; the hosts' engines still hold the chunks of the one that they served. Fetching
-// the wrong version would put it over them; reading them back costs nothing and lets
-// the engine serve half a second earlier.
-t.test('of a version that is not surely wanted nothing is fetched, and what outlived is read', async t => {
+// After a power loss of all hosts, the core has no leader yet, so the wanted version is
+// not confirmed; engines still hold the staged chunks of the version that they served.
+// Fetching another version would overwrite those chunks; reading them back is cheap and
+// lets the engine serve half a second earlier.
+t.test('an unconfirmed version is not fetched, but its staged chunks are read', async t => {
 	const data = Buffer.alloc(64, 7);
 	const digest = createHash('sha256').update(data).digest('hex');
 	let fetched = 0;
@@ -94,7 +94,7 @@
 		exchange.close();
 		links.close();
 	});
-	const opened = await exchange.open({...goalOf(2), isSure: false});
+	const opened = await exchange.open({...goalOf(2), isConfirmed: false});
 	t.equal(opened?.heldChunks().length, 3);
 	await delay(200);
 	t.equal(fetched, 0);
@@ -103,32 +103,33 @@
 		await delay(10);
 	}
 
-	t.equal(fetched, 1, 'once it is sure, only what is missing is fetched');
+	t.equal(fetched, 1, 'once it is confirmed, only the missing chunk is fetched');
 	t.equal(exchange.missingChunks(), 0);
 });
 
-/** Keeps this process from doing anything else. */
-const standStill = (forMs: number): void => {
+/** Blocks the event loop. */
+const blockEventLoop = (forMs: number): void => {
 	const untilMs = performance.now() + forMs;
 	while (performance.now() < untilMs) {
-		// Nothing else runs meanwhile.
+		// Busy wait.
 	}
 };
 
-// The process stands still while it exchanges chunks; the others have given it up
-// meanwhile. Awake, it greets them anew, and its own slow fetches are no narrow link.
-t.test('a process that stood still greets its neighbours again', async t => {
+// The process stalls during a chunk exchange, and its peers mark it as down. When it
+// resumes, it must greet them again, and must not take the fetches that the stall slowed
+// down for link congestion.
+t.test('a process greets its peers again after a stall', async t => {
 	const greetings: boolean[] = [];
 	const rpc = createRpcServer();
 	rpc.method('agent.have', haveParametersSchema, ({isGreeting}) => {
 		greetings.push(isGreeting);
 	});
-	const neighbour = await createHttpServer({listen: '127.0.0.1:0', handler: async (request, response) => rpc.serve(request, response)});
+	const peer = await createHttpServer({listen: '127.0.0.1:0', handler: async (request, response) => rpc.serve(request, response)});
 	const links = createPacedLinks({bytesPerSecond: 1_000_000, share: () => 1});
 	const exchange = createWeightExchange({
 		selfAddress: '127.0.0.1:2', zoneId: 'z', regionId: 'r', engine, links, linkBytesPerSecond: 1_000_000, logger: silentLogger,
 		peers: () => [{
-			hostId: 'n', address: neighbour.address, zoneId: 'z', regionId: 'r',
+			hostId: 'n', address: peer.address, zoneId: 'z', regionId: 'r',
 		}],
 		origin: {
 			digests: async () => Array.from({length: 4}, () => '0'.repeat(64)),
@@ -138,18 +139,18 @@
 	t.teardown(() => {
 		exchange.close();
 		links.close();
-		neighbour.destroy();
+		peer.destroy();
 	});
-	const greeted = async (count: number): Promise<void> => {
+	const untilGreeted = async (count: number): Promise<void> => {
 		while (greetings.filter(Boolean).length < count) {
 			await delay(10);
 		}
 	};
 
 	await exchange.open(goalOf(2));
-	await greeted(1);
-	standStill(700);
-	await greeted(2);
+	await untilGreeted(1);
+	blockEventLoop(700);
+	await untilGreeted(2);
 	t.equal(greetings.filter(Boolean).length, 2);
 	t.notOk(exchange.isStrained());
 });
