--- a/packages/gateway/src/agent/weight-exchange.ts
+++ b/packages/gateway/src/agent/weight-exchange.ts
@@ -40,7 +40,7 @@
 	isBackingOff(): boolean;
 	/** Whether the link was congested recently. */
 	isStrained(): boolean;
-	/** Number of missing chunks; `null` if no version is open, or if chunks are missing and the fetch has stalled. */
+	/** Number of missing chunks; `null` if no version is open, or if chunks are missing and the fetch has stalled or cannot reach them. */
 	missingChunks(): number | null;
 	/** Reads a chunk for another host. */
 	readChunk(manifestId: string, chunk: number): Uint8Array | null;
--- a/packages/gateway/src/link/core-client.ts
+++ b/packages/gateway/src/link/core-client.ts
@@ -122,8 +122,8 @@
 
 	const nearestOf = (announcer: string): string => {
 		const wanted = connections.get(announcer)?.announcedNumber ?? 0;
-		const near = [...connections].find(([, connection]) => connection.isConnected && connection.zoneId === self.zoneId && connection.announcedNumber >= wanted);
-		return near?.[0] ?? announcer;
+		const sameZoneCore = [...connections].find(([, connection]) => connection.isConnected && connection.zoneId === self.zoneId && connection.announcedNumber >= wanted);
+		return sameZoneCore?.[0] ?? announcer;
 	};
 
 	const fetchConfiguration = async (announcer: string): Promise<void> => {
@@ -169,8 +169,8 @@
 		const connected = [...connections].filter(([, connection]) => connection.isConnected);
 		const warmedUp = connected.filter(([, connection]) => nowMs - connection.connectedAtMs >= rosterWarmupMs);
 		const usable = warmedUp.length > 0 ? warmedUp : connected;
-		const near = usable.find(([, connection]) => connection.zoneId === self.zoneId);
-		return (near ?? usable[0])?.[0];
+		const sameZoneSource = usable.find(([, connection]) => connection.zoneId === self.zoneId);
+		return (sameZoneSource ?? usable[0])?.[0];
 	};
 
 	/** Empty if the current roster is from another core host: this one's roster may differ even if it has not changed. */
--- a/packages/gateway/test/core-node.test.ts
+++ b/packages/gateway/test/core-node.test.ts
@@ -71,13 +71,13 @@
 	const nodes = await Promise.all(seeds.map(async (seed, index) => start(t, seed, seeds, path.join(folder, `c${index}`))));
 	t.equal(await submitUntilKnown(nodes[0]!, 5), 'stored');
 	await Promise.all(nodes.map(async node => node.close()));
-	const kept = await start(t, seeds[0]!, seeds, path.join(folder, 'c0'), false);
-	const emptied = await start(t, seeds[1]!, seeds, path.join(folder, 'empty'), false);
+	const survivor = await start(t, seeds[0]!, seeds, path.join(folder, 'c0'), false);
+	const replacement = await start(t, seeds[1]!, seeds, path.join(folder, 'empty'), false);
 	await delay(1500);
-	t.match(await emptied.read(), {type: 'unsure'}, 'one of three original members cannot decide');
+	t.match(await replacement.read(), {type: 'unsure'}, 'one of three original members cannot decide');
 	await start(t, seeds[2]!, seeds, path.join(folder, 'c2'), false);
-	t.equal(await readText(kept), 'text 5');
-	t.equal(await readText(emptied), 'text 5', 'the host with the empty disk has been added as a member');
+	t.equal(await readText(survivor), 'text 5');
+	t.equal(await readText(replacement), 'text 5', 'the host with the empty disk has been added as a member');
 });
 
 // A control host has no disk. Operators may call any control host: it forwards their
--- a/packages/gateway/test/followers.test.ts
+++ b/packages/gateway/test/followers.test.ts
@@ -9,7 +9,7 @@
 });
 const core = ['10.0.0.2:1', '10.0.0.1:1'];
 
-// If every process of a fleet of hundreds were told of every other one that joins, the
+// If every process of a fleet of hundreds were notified of every other one that joins, the
 // number of messages would be quadratic. Each roster lists only the relevant processes.
 t.test('a roster lists only the processes that are relevant to its follower', async t => {
 	const followers = createFollowers();
