--- a/packages/coordination/src/burn/burn-report.ts
+++ b/packages/coordination/src/burn/burn-report.ts
@@ -6,23 +6,23 @@
 	addBurnAnswer, addToSeries, createBurnMerge, createMergedSeries, type BurnMerge, type MergedSeries, type MergedService,
 } from './burn-merge.js';
 import {
-	burnWindows, floorTo, hourMs, keptTenMinutes, oldestStartMs, sumSince, tenMinutesMs, type BurnCounts, type BurnWindowName,
+	burnWindows, floorTo, hourMs, retainedTenMinutes, oldestStartMs, sumSince, tenMinutesMs, type BurnCounts, type BurnWindowName,
 } from './windows.js';
 
-/** How fast one objective's budget burns in one window; 1 uses it up in exactly the three days. */
+/** Burn rate of one objective's error budget in one window; at a rate of 1 the budget lasts exactly three days. */
 export type BurnRate = {readonly window: BurnWindowName; readonly bad: number; readonly total: number; readonly rate: number};
 
 export type BurnAlert = 'page' | 'ticket' | 'none';
 
-/** One objective over all windows. */
+/** Burn of one objective over all windows. */
 export type ObjectiveBurn = {
 	readonly rates: readonly BurnRate[];
-	/** Share of the three days' budget that is left, in percent; below 0 when it is overspent. */
+	/** Remaining share of the three-day budget in percent; negative when the budget is overspent. */
 	readonly budgetLeftPercent: number;
 	readonly alert: BurnAlert;
 };
 
-/** One point of the plots: an hour. Times are `null` where nothing was timed. */
+/** One point of the plots, covering one hour. Latencies are `null` if none were measured. */
 export type BurnPoint = {
 	readonly startMs: number;
 	readonly counts: BurnCounts;
@@ -32,28 +32,28 @@
 
 export type BurnRow = {
 	readonly serviceId: string;
-	/** `null` for the service over all teams. */
+	/** `null` for the total over all teams of the service. */
 	readonly teamId: string | null;
 	readonly objective: Objective;
 	readonly answeredWhole: ObjectiveBurn;
 	readonly firstToken: ObjectiveBurn;
-	/** For a service over all teams; none for a team. */
+	/** Points of the total over all teams; empty for a single team. */
 	readonly points: readonly BurnPoint[];
 };
 
 export type BurnReport = {
 	readonly nowMs: number;
 	readonly heardEntries: readonly string[];
-	/** Entries that did not answer; what they counted is not in the report. */
+	/** Entries that did not answer; their counts are missing from the report. */
 	readonly missingEntries: readonly string[];
 	readonly rows: readonly BurnRow[];
 };
 
 /**
- * Both windows of a pair must burn faster than the rate. Over three days a
- * rate of 14.4 in one hour spends a fifth of the budget, and one of 6 in six
- * hours half of it. The pairs follow the multi-window alerts of Google's Site
- * Reliability Workbook, chapter 5.
+ * An alert fires when the burn rate exceeds `rate` in both windows of a pair.
+ * Of the three-day budget, a rate of 14.4 for one hour spends a fifth, and a
+ * rate of 6 for six hours spends half. The pairs follow the multi-window
+ * alerts of Google's Site Reliability Workbook, chapter 5.
  */
 export const alertRules: ReadonlyArray<{readonly alert: BurnAlert; readonly long: BurnWindowName; readonly short: BurnWindowName; readonly rate: number}> = [
 	{
@@ -67,12 +67,12 @@
 	},
 ];
 
-/** Bad requests as a multiple of those that the objective allows. */
+/** Ratio of the share of bad requests to the share that the objective allows. */
 export const burnRateOf = (bad: number, total: number, objectivePercent: number): number => total === 0
 	? 0
 	: round((bad / total) / ((100 - objectivePercent) / 100));
 
-/** Four decimals: beyond them lies only the noise of binary fractions. */
+/** Rounds to four decimals, which hides floating-point errors. */
 const round = (value: number): number => Math.round(value * 10_000) / 10_000;
 
 const alertOf = (rates: readonly BurnRate[]): BurnAlert => {
@@ -83,9 +83,9 @@
 
 type ObjectiveCounts = {readonly bad: number; readonly total: number};
 
-const objectiveBurn = (merged: MergedSeries, nowMs: number, objectivePercent: number, pick: (counts: BurnCounts) => ObjectiveCounts): ObjectiveBurn => {
+const objectiveBurn = (merged: MergedSeries, nowMs: number, objectivePercent: number, selectCounts: (counts: BurnCounts) => ObjectiveCounts): ObjectiveBurn => {
 	const rates = burnWindows.map(({name, source, stepMs, buckets}) => {
-		const {bad, total} = pick(sumSince(merged[source], oldestStartMs(nowMs, stepMs, buckets)));
+		const {bad, total} = selectCounts(sumSince(merged[source], oldestStartMs(nowMs, stepMs, buckets)));
 		return {
 			window: name, bad, total, rate: burnRateOf(bad, total, objectivePercent),
 		};
@@ -94,9 +94,9 @@
 };
 
 const pointsOf = ({tenMinutes}: MergedSeries, histograms: ReadonlyMap<number, Histogram>, nowMs: number): BurnPoint[] => {
-	const oldestMs = oldestStartMs(nowMs, tenMinutesMs, keptTenMinutes);
-	const kept = [...tenMinutes].filter(([startMs]) => startMs >= oldestMs).toSorted(([a], [b]) => a - b);
-	const byHour = groupBy(kept, ([startMs]) => floorTo(startMs, hourMs));
+	const oldestMs = oldestStartMs(nowMs, tenMinutesMs, retainedTenMinutes);
+	const inWindow = [...tenMinutes].filter(([startMs]) => startMs >= oldestMs).toSorted(([a], [b]) => a - b);
+	const byHour = groupBy(inWindow, ([startMs]) => floorTo(startMs, hourMs));
 	return [...byHour].map(([startMs, buckets]) => ({
 		startMs,
 		counts: sumSince(new Map(buckets), 0),
@@ -119,18 +119,18 @@
 export type BurnReportOptions = {
 	readonly nowMs: number;
 	readonly missingEntries: readonly string[];
-	/** Objectives that operators have set; other services have the default. */
+	/** Objectives set by operators; all other services use the default. */
 	readonly objectives: ReadonlyMap<string, Objective>;
 };
 
 const rowsOfService = (serviceId: string, {teams, hours}: MergedService, {nowMs, objectives}: BurnReportOptions): BurnRow[] => {
 	const objective = objectives.get(serviceId) ?? defaultObjective;
-	const all = createMergedSeries();
+	const serviceTotal = createMergedSeries();
 	for (const team of teams.values()) {
-		addToSeries(all, team);
+		addToSeries(serviceTotal, team);
 	}
 
-	const service = rowOf(all, pointsOf(all, hours, nowMs), {
+	const service = rowOf(serviceTotal, pointsOf(serviceTotal, hours, nowMs), {
 		serviceId, teamId: null, objective, nowMs,
 	});
 	return [service, ...[...teams].toSorted(([a], [b]) => a.localeCompare(b)).map(([teamId, ofTeam]) => rowOf(ofTeam, [], {
@@ -138,7 +138,7 @@
 	}))];
 };
 
-/** The rows, a service at a time: one for the service, then one for each of its teams. */
+/** Yields the rows of one service at a time: first the service's total, then one row per team. */
 export function * burnRowsByService({services}: BurnMerge, options: BurnReportOptions): Generator<BurnRow[]> {
 	for (const [serviceId, service] of [...services].toSorted(([a], [b]) => a.localeCompare(b))) {
 		if (service.teams.size > 0) {
@@ -151,12 +151,12 @@
 	nowMs, heardEntries: entryIds.toSorted(), missingEntries: [...missingEntries].toSorted(), rows,
 });
 
-/** The whole report at once. */
+/** Builds the complete report in one synchronous call. */
 export const buildBurnReport = ({answers, ...options}: BurnReportOptions & {readonly answers: readonly BurnAnswer[]}): BurnReport => {
 	const merge = createBurnMerge();
 	for (const answer of answers) {
 		for (const _step of addBurnAnswer(merge, answer)) {
-			// Nothing else waits here.
+			// The steps need no pause, since the caller waits for the complete report.
 		}
 	}
 
--- a/packages/coordination/src/burn/histogram.ts
+++ b/packages/coordination/src/burn/histogram.ts
@@ -5,24 +5,24 @@
 
 const require = createRequire(import.meta.url);
 
-/** Only entries and reports keep histograms, and the library takes 2 MB of every process that loads it. */
+/** Loaded on demand: only entries and reports use histograms, and the library takes 2 MB in each process that loads it. */
 export const loadHistograms = (): typeof HdrHistogram => require('hdr-histogram-js') as typeof HdrHistogram;
 
-/** Longer waits count as this long. */
-const highestMs = 600_000;
+/** Longer latencies are recorded as this value. */
+const maxLatencyMs = 600_000;
 
-/** Two digits keep the error of a quantile under one percent in a few kilobytes. */
+/** Two significant digits keep the error of a quantile below one percent in a few kilobytes. */
 export const createLatencyHistogram = (): Histogram => loadHistograms().build({
-	bitBucketSize: 'packed', autoResize: false, lowestDiscernibleValue: 1, highestTrackableValue: highestMs, numberOfSignificantValueDigits: 2, useWebAssembly: false,
+	bitBucketSize: 'packed', autoResize: false, lowestDiscernibleValue: 1, highestTrackableValue: maxLatencyMs, numberOfSignificantValueDigits: 2, useWebAssembly: false,
 });
 
 export const recordLatency = (histogram: Histogram, latencyMs: number): void => {
-	histogram.recordValue(Math.min(Math.max(1, Math.round(latencyMs)), highestMs));
+	histogram.recordValue(Math.min(Math.max(1, Math.round(latencyMs)), maxLatencyMs));
 };
 
 export const encodeHistogram = (histogram: Histogram): string => loadHistograms().encodeIntoCompressedBase64(histogram);
 
-/** `null` for text that is no histogram; a neighbour's mistake must not spoil the whole report. */
+/** Returns `null` for invalid text, so that one faulty entry does not make the whole report fail. */
 export const decodeHistogram = (encoded: string): Histogram | null => {
 	try {
 		return loadHistograms().decodeFromCompressedBase64(encoded, 32, false);
--- a/packages/coordination/src/burn/windows.ts
+++ b/packages/coordination/src/burn/windows.ts
@@ -4,42 +4,42 @@
 export const tenMinutesMs = 10 * minuteMs;
 export const hourMs = 60 * minuteMs;
 
-/** How many buckets of each length are kept; they cover the windows that are read from them. */
-export const keptMinutes = 60;
-export const keptTenMinutes = 432;
+/** Number of retained buckets of each length; they cover the windows that are read from them. */
+export const retainedMinutes = 60;
+export const retainedTenMinutes = 432;
 export const keptHours = 72;
 
 export type BurnWindowName = '5m' | '1h' | '6h' | '3d';
 
 export type BurnWindow = {
 	readonly name: BurnWindowName;
-	/** Which buckets the window is read from. */
+	/** Series of buckets that the window is read from. */
 	readonly source: 'minutes' | 'tenMinutes';
 	/** Length of a bucket. */
 	readonly stepMs: number;
-	/** Buckets in the window, the running one included. */
+	/** Number of buckets in the window, including the current one. */
 	readonly buckets: number;
 };
 
-/** A long window shows that a burn matters; the short one beside it, that it still goes on. */
+/** In an alert's pair, the long window shows that a burn is significant and the short one that it is still going on. */
 export const burnWindows: readonly BurnWindow[] = [
 	{
 		name: '5m', source: 'minutes', stepMs: minuteMs, buckets: 5,
 	},
 	{
-		name: '1h', source: 'minutes', stepMs: minuteMs, buckets: keptMinutes,
+		name: '1h', source: 'minutes', stepMs: minuteMs, buckets: retainedMinutes,
 	},
 	{
 		name: '6h', source: 'tenMinutes', stepMs: tenMinutesMs, buckets: 36,
 	},
 	{
-		name: '3d', source: 'tenMinutes', stepMs: tenMinutesMs, buckets: keptTenMinutes,
+		name: '3d', source: 'tenMinutes', stepMs: tenMinutesMs, buckets: retainedTenMinutes,
 	},
 ];
 
 export const floorTo = (timeMs: number, stepMs: number): number => Math.floor(timeMs / stepMs) * stepMs;
 
-/** Start of the oldest of `buckets` buckets that end with the running one. */
+/** Start of the oldest of `buckets` consecutive buckets, the last of which is the current one. */
 export const oldestStartMs = (nowMs: number, stepMs: number, buckets: number): number => floorTo(nowMs, stepMs) - ((buckets - 1) * stepMs);
 
 export type BurnCounts = Omit<BurnBucket, 'startMs'>;
@@ -51,13 +51,13 @@
 	slow: left.slow + right.slow,
 });
 
-export const noCounts: BurnCounts = {
+export const zeroCounts: BurnCounts = {
 	total: 0, notWhole: 0, timed: 0, slow: 0,
 };
 
-/** Sum over the buckets from `fromMs` on; later ones than `nowMs` come from a clock that runs ahead and count too. */
+/** Sums the buckets that start at or after `fromMs`. Buckets in the future come from entries whose clock is ahead; they count too. */
 export const sumSince = (buckets: ReadonlyMap<number, BurnCounts>, fromMs: number): BurnCounts => {
-	let sum = noCounts;
+	let sum = zeroCounts;
 	for (const [startMs, counts] of buckets) {
 		if (startMs >= fromMs) {
 			sum = addCounts(sum, counts);
--- a/packages/coordination/src/configuration/plan-rollouts.ts
+++ b/packages/coordination/src/configuration/plan-rollouts.ts
@@ -6,30 +6,32 @@
 
 type Counts = {readonly answered: number; readonly failed: number};
 
-/** Since when a step is watched, and what entries had counted before it. */
+/** When the observation of a step began, and the entries' counts at that time. */
 type StepWatch = {readonly step: number; readonly sinceMs: number; readonly before: ReadonlyMap<string, Counts>; readonly burnBefore: BurnBaseline};
 
-/** The leader's memory of running moves, by model. It is lost with the leader; the next one watches the step anew. */
+/** The leader's in-memory observations of running rollouts, by model. A new leader starts to observe the current step from its beginning. */
 export type RolloutWatch = Map<string, StepWatch>;
 
 export type PlanRolloutsOptions = {
 	readonly catalog: Catalog;
 	readonly watch: RolloutWatch;
-	/** What entries say now. */
+	/** The entries' current reports. */
 	readonly entryReports: readonly HostReport[];
-	/** Whether all entries in service are among them. */
+	/** Whether `entryReports` covers all entries in service. */
 	readonly isComplete: boolean;
 	readonly nowMs: number;
 };
 
-/** Fewer failures than this say nothing about a fleet. */
+/** Fewer failures than this are not significant. */
 const minFailures = 3;
 
 /**
- * The next steps of moves that are due, and a stop for those whose target
- * fails or whose service's burn rises. The plan and its progress are in the catalog, so a leader that takes
- * over goes on from there; each change names the step that it saw, so a step
- * is done once whoever proposes it, and not at all after an operator's stop.
+ * Plans the next step of each rollout that is due, and halts rollouts whose
+ * target fleet fails or whose service's burn rate rises. The plan and its
+ * progress are stored in the catalog, so a new leader continues from there.
+ * Each change names the step that it was planned for, so a step is executed
+ * only once even if several leaders propose it, and never after an operator
+ * has stopped the rollout.
  */
 export const planRollouts = (options: PlanRolloutsOptions): Change[] => {
 	const {catalog, watch} = options;
@@ -52,17 +54,17 @@
 	const {catalog, watch, isComplete, nowMs} = options;
 	const {step, holdMs} = rollout;
 	const modelId = modelIdSchema.parse(rollout.modelId);
-	const watched = watch.get(modelId);
-	if (watched?.step !== step) {
+	const stepWatch = watch.get(modelId);
+	if (stepWatch?.step !== step) {
 		const burnBefore: BurnBaseline = new Map();
 		watch.set(modelId, {
 			step, sinceMs: nowMs, before: countsOf(options, rollout), burnBefore,
 		});
-		findBurn(options, rollout, burnBefore);
+		findBurnReason(options, rollout, burnBefore);
 		return null;
 	}
 
-	const {answered, failed} = sinceStep(options, rollout, watched);
+	const {answered, failed} = sinceStep(options, rollout, stepWatch);
 	const errorPercent = failed / Math.max(1, answered + failed) * 100;
 	if (failed >= minFailures && errorPercent > rollout.maxErrorPercent) {
 		return {
@@ -70,19 +72,19 @@
 		};
 	}
 
-	const burn = findBurn(options, rollout, watched.burnBefore);
+	const burn = findBurnReason(options, rollout, stepWatch.burnBefore);
 	if (burn !== null) {
 		return {
 			type: 'haltRollout', modelId, step, detail: burn,
 		};
 	}
 
-	const hasHeld = step === 0 || nowMs - watched.sinceMs >= holdMs;
-	return hasHeld && isComplete && hasRoom(catalog, rollout) ? {type: 'advanceRollout', modelId, step} : null;
+	const isHoldOver = step === 0 || nowMs - stepWatch.sinceMs >= holdMs;
+	return isHoldOver && isComplete && hasCapacity(catalog, rollout) ? {type: 'advanceRollout', modelId, step} : null;
 };
 
-const findBurn = ({catalog, entryReports}: PlanRolloutsOptions, rollout: RolloutRecord, baseline: BurnBaseline): string | null => findRolloutBurn({
-	catalog, entryReports, rollout, baseline, minBad: minFailures,
+const findBurnReason = ({catalog, entryReports}: PlanRolloutsOptions, rollout: RolloutRecord, baseline: BurnBaseline): string | null => findRolloutBurn({
+	catalog, entryReports, rollout, baseline, minBadRequests: minFailures,
 });
 
 const countsOf = ({entryReports}: PlanRolloutsOptions, {toFleetId}: RolloutRecord): Map<string, Counts> => new Map(entryReports.flatMap(({hostId, fleetOutcomes = []}) => {
@@ -95,24 +97,24 @@
 	let failed = 0;
 	for (const [entryId, now] of countsOf(options, rollout)) {
 		const earlier = before.get(entryId);
-		// An entry that restarted counts from 0 again.
-		const isSameStart = earlier !== undefined && earlier.answered <= now.answered && earlier.failed <= now.failed;
-		answered += now.answered - (isSameStart ? earlier.answered : 0);
-		failed += now.failed - (isSameStart ? earlier.failed : 0);
+		// If a count decreased, the entry has restarted and counts from 0.
+		const isSameProcess = earlier !== undefined && earlier.answered <= now.answered && earlier.failed <= now.failed;
+		answered += now.answered - (isSameProcess ? earlier.answered : 0);
+		failed += now.failed - (isSameProcess ? earlier.failed : 0);
 	}
 
 	return {answered, failed};
 };
 
-/** Whether the target has ready hosts for the share that it would have, as a part of all that it should have. */
-const hasRoom = (catalog: Catalog, {modelId, toFleetId, percent, movedPercent, stepPercent}: RolloutRecord): boolean => {
+/** Whether the target fleet has enough ready hosts for its traffic share after the next step, in proportion to its configured replicas. */
+const hasCapacity = (catalog: Catalog, {modelId, toFleetId, percent, movedPercent, stepPercent}: RolloutRecord): boolean => {
 	const fleet = catalog.fleets[toFleetId];
 	if (fleet === undefined) {
 		return false;
 	}
 
-	const held = catalog.models[modelId]?.traffic.find(({fleetId}) => fleetId === toFleetId)?.percent ?? 0;
-	const wanted = held + Math.min(stepPercent, percent - movedPercent);
+	const currentPercent = catalog.models[modelId]?.traffic.find(({fleetId}) => fleetId === toFleetId)?.percent ?? 0;
+	const nextPercent = currentPercent + Math.min(stepPercent, percent - movedPercent);
 	const ready = Object.values(catalog.hosts).filter(host => host.assignment?.fleetId === toFleetId && host.readyVersionId === fleet.versionId).length;
-	return ready >= Math.max(1, Math.ceil(fleet.replicas * wanted / 100));
+	return ready >= Math.max(1, Math.ceil(fleet.replicas * nextPercent / 100));
 };
--- a/packages/coordination/src/configuration/rollout-burn.ts
+++ b/packages/coordination/src/configuration/rollout-burn.ts
@@ -1,40 +1,41 @@
 import type {HostReport} from '@bitternpaddle/protocol';
 import {defaultObjective, type Catalog, type RolloutRecord} from '@bitternpaddle/state';
 import {alertRules, burnRateOf} from '../burn/burn-report.js';
-import {addCounts, noCounts, type BurnCounts} from '../burn/windows.js';
+import {addCounts, zeroCounts, type BurnCounts} from '../burn/windows.js';
 
-/** What each entry had counted for each service when it was first heard in this step, by entry and service. */
+/** Each entry's counts for each service in its first report during this step, keyed by entry and service. */
 export type BurnBaseline = Map<string, BurnCounts>;
 
-/** The rate of the shortest page, as a multiple of what the objective allows. */
+/** The burn rate of the paging alert with the shortest windows, as a multiple of what the objective allows. */
 const stopRate = alertRules[0]!.rate;
-/** How much faster than before the step: a service that burned already is no reason to stay where it burns. */
+/** Required increase over the rate before the step: if the service was already burning, halting the rollout would only keep traffic where it fails. */
 const riseFactor = 2;
 
-type Side = {readonly name: string; readonly objectivePercent: number; readonly since: Share; readonly before: Share};
-type Share = {readonly bad: number; readonly total: number};
+type ObjectiveComparison = {readonly name: string; readonly objectivePercent: number; readonly since: ObjectiveCounts; readonly before: ObjectiveCounts};
+type ObjectiveCounts = {readonly bad: number; readonly total: number};
 
 export type RolloutBurnOptions = {
 	readonly catalog: Catalog;
 	readonly entryReports: readonly HostReport[];
 	readonly rollout: RolloutRecord;
-	/** Entries that are heard for the first time in the step are added. */
+	/** Entries that report for the first time during the step are added. */
 	readonly baseline: BurnBaseline;
-	/** Fewer bad requests than this say nothing. */
-	readonly minBad: number;
+	/** Fewer bad requests than this are not significant. */
+	readonly minBadRequests: number;
 };
 
 /**
- * Why a move should stop for its service's burn, or `null`. The window is the
- * time since the step began. Entries' clocks play no part: their reports carry
- * counts since they started, and what counts is the difference.
+ * Returns the reason to halt a rollout because its service's burn rate rose, or
+ * `null`. The window is the time since the step began. It does not depend on
+ * the entries' clocks: reports carry counts since each entry started, and only
+ * the differences are used.
  */
 export const findRolloutBurn = (options: RolloutBurnOptions): string | null => {
-	const {catalog, minBad} = options;
+	const {catalog, minBadRequests} = options;
 	for (const serviceId of servicesOf(options)) {
 		const {since, before} = countService(options, serviceId);
 		const objective = catalog.services[serviceId]?.objective ?? defaultObjective;
-		const sides: Side[] = [
+		const comparisons: ObjectiveComparison[] = [
 			{
 				name: 'answers whole', objectivePercent: objective.answeredWholePercent,
 				since: {bad: since.notWhole, total: since.total}, before: {bad: before.notWhole, total: before.total},
@@ -44,10 +45,10 @@
 				since: {bad: since.slow, total: since.timed}, before: {bad: before.slow, total: before.timed},
 			},
 		];
-		for (const side of sides) {
-			const rate = rateOf(side.since, side.objectivePercent);
-			if (side.since.bad >= minBad && rate > stopRate && rate > riseFactor * rateOf(side.before, side.objectivePercent)) {
-				return `${side.name}: ${side.since.bad} of ${side.since.total} requests to ${serviceId} missed it, its budget burns ${Math.round(rate)} times as fast as it may`;
+		for (const comparison of comparisons) {
+			const rate = rateOf(comparison.since, comparison.objectivePercent);
+			if (comparison.since.bad >= minBadRequests && rate > stopRate && rate > riseFactor * rateOf(comparison.before, comparison.objectivePercent)) {
+				return `${comparison.name}: ${comparison.since.bad} of ${comparison.since.total} requests to ${serviceId} missed it, its budget burns ${Math.round(rate)} times as fast as it may`;
 			}
 		}
 	}
@@ -55,30 +56,30 @@
 	return null;
 };
 
-const rateOf = ({bad, total}: Share, objectivePercent: number): number => burnRateOf(bad, total, objectivePercent);
+const rateOf = ({bad, total}: ObjectiveCounts, objectivePercent: number): number => burnRateOf(bad, total, objectivePercent);
 
 const servicesOf = ({catalog, rollout}: RolloutBurnOptions): Set<string> => new Set(Object.values(catalog.hosts)
 	.filter(({assignment}) => assignment?.fleetId === rollout.fromFleetId || assignment?.fleetId === rollout.toFleetId)
 	.map(({announcement}) => announcement.serviceId));
 
 const countService = ({entryReports, baseline}: RolloutBurnOptions, serviceId: string): {since: BurnCounts; before: BurnCounts} => {
-	let since = noCounts;
-	let before = noCounts;
+	let since = zeroCounts;
+	let before = zeroCounts;
 	for (const {hostId, serviceOutcomes = []} of entryReports) {
-		const now = serviceOutcomes.find(outcome => outcome.serviceId === serviceId) ?? noCounts;
+		const now = serviceOutcomes.find(outcome => outcome.serviceId === serviceId) ?? zeroCounts;
 		const key = `${hostId}/${serviceId}`;
-		// An entry that is heard late would else bring its whole past into this step, and stop a move for what is over.
-		const known = baseline.get(key) ?? now;
-		baseline.set(key, known);
-		before = addCounts(before, known);
-		since = addCounts(since, differenceOf(now, known));
+		// Otherwise an entry whose first report arrives late would add all its earlier counts to this step, and past failures would halt the rollout.
+		const baselineCounts = baseline.get(key) ?? now;
+		baseline.set(key, baselineCounts);
+		before = addCounts(before, baselineCounts);
+		since = addCounts(since, countDifference(now, baselineCounts));
 	}
 
 	return {since, before};
 };
 
-/** An entry that restarted counts from 0 again. */
-const differenceOf = (now: BurnCounts, earlier: BurnCounts): BurnCounts => now.total < earlier.total
+/** If the total decreased, the entry has restarted and counts from 0. */
+const countDifference = (now: BurnCounts, earlier: BurnCounts): BurnCounts => now.total < earlier.total
 	? now
 	: {
 		total: now.total - earlier.total, notWhole: now.notWhole - earlier.notWhole, timed: now.timed - earlier.timed, slow: now.slow - earlier.slow,
--- a/packages/coordination/test/burn.test.ts
+++ b/packages/coordination/test/burn.test.ts
@@ -13,7 +13,7 @@
 
 type Batch = {readonly atMs: number; readonly notWhole: number; readonly slow: number};
 
-/** 100 requests that end at one time, shared out over the counters in turn. */
+/** Counts 100 requests that end at the same time, distributed round-robin over the counters. */
 const countBatch = (counters: readonly BurnCounter[], {atMs, notWhole, slow}: Batch): void => {
 	for (let index = 0; index < 100; index++) {
 		countSample(counters[index % counters.length]!, {
@@ -23,29 +23,29 @@
 	}
 };
 
-const reportOf = (counters: readonly BurnCounter[], atMs = nowMs): BurnReport => buildBurnReport({
+const buildReport = (counters: readonly BurnCounter[], atMs = nowMs): BurnReport => buildBurnReport({
 	nowMs: atMs, missingEntries: [], objectives: new Map([['bp-writers', objective]]),
-	// By way of the wire's schema, as between two entries.
+	// Parsed with the protocol schema, as answers between two entries are.
 	answers: counters.map((counter, index) => burnAnswerSchema.parse(structuredClone({entryId: `entry-${index + 1}`, ...exportCounts(counter, atMs)}))),
 });
 
-const ratesOf = (row: BurnRow, name: 'answeredWhole' | 'firstToken') => Object.fromEntries(row[name].rates.map(({window, bad, total, rate}) => [window, [bad, total, rate]]));
+const ratesByWindow = (row: BurnRow, name: 'answeredWhole' | 'firstToken') => Object.fromEntries(row[name].rates.map(({window, bad, total, rate}) => [window, [bad, total, rate]]));
 
-// Worked out by hand. For three days, 100 requests end in the last minute of
+// Calculated by hand. For three days, 100 requests end in the last minute of
 // every ten: 432 batches, 43,200 requests; 100 of them in the last 5 minutes,
-// 600 in the last hour, 3,600 in the last 6. Objective: 99% whole (1% may fail).
-//   Not whole: 20 two days ago, 10 at 08:09, 6 at 11:09, 3 at 11:59.
+// 600 in the last hour, 3,600 in the last 6. Objective: 99% complete (1% may fail).
+//   Incomplete: 20 two days ago, 10 at 08:09, 6 at 11:09, 3 at 11:59.
 //     5m:  3 / 100    = 3%         -> 3
 //     1h:  9 / 600    = 1.5%       -> 1.5
 //     6h: 19 / 3,600  = 0.527777%  -> 0.5278
-//     3d: 39 / 43,200 = 0.0902777% -> 0.0903, so 90.97% of the budget is left
+//     3d: 39 / 43,200 = 0.0902777% -> 0.0903, so 90.97% of the budget remains
 //   First token, 95% within 1 s (5% may be late): in the last hour, 20 of each
 //   batch of 100 take 1.5 s.
 //     5m:  20 / 100    = 20%      -> 4
 //     1h: 120 / 600    = 20%      -> 4
 //     6h: 120 / 3,600  = 3.3333%  -> 0.6667
-//     3d: 120 / 43,200 = 0.27777% -> 0.0556, so 94.44% is left
-t.test('a trace whose burn is worked out by hand, counted by three entries', async t => {
+//     3d: 120 / 43,200 = 0.27777% -> 0.0556, so 94.44% remains
+t.test('matches the burn rates calculated by hand for a trace counted by three entries', async t => {
 	const counters = [createBurnCounter(), createBurnCounter(), createBurnCounter()];
 	const notWhole = new Map([[endMs - (48 * 60 * minuteMs) - minuteMs, 20], [Date.UTC(2026, 5, 4, 8, 9), 10], [Date.UTC(2026, 5, 4, 11, 9), 6], [Date.UTC(2026, 5, 4, 11, 59), 3]]);
 	for (let index = 431; index >= 0; index--) {
@@ -53,63 +53,63 @@
 		countBatch(counters, {atMs, notWhole: notWhole.get(atMs) ?? 0, slow: index < 6 ? 20 : 0});
 	}
 
-	const report = reportOf(counters);
+	const report = buildReport(counters);
 	const [row] = report.rows;
 	t.equal(row!.teamId, null);
-	t.same(ratesOf(row!, 'answeredWhole'), {
+	t.same(ratesByWindow(row!, 'answeredWhole'), {
 		'5m': [3, 100, 3], '1h': [9, 600, 1.5], '6h': [19, 3600, 0.5278], '3d': [39, 43_200, 0.0903],
 	});
 	t.equal(row!.answeredWhole.budgetLeftPercent.toFixed(2), '90.97');
-	t.same(ratesOf(row!, 'firstToken'), {
+	t.same(ratesByWindow(row!, 'firstToken'), {
 		'5m': [20, 100, 4], '1h': [120, 600, 4], '6h': [120, 3600, 0.6667], '3d': [120, 43_200, 0.0556],
 	});
 	t.equal(row!.firstToken.budgetLeftPercent.toFixed(2), '94.44');
 	t.equal(row!.answeredWhole.alert, 'none');
-	t.equal(row!.points.length, 72, 'a point for each hour');
+	t.equal(row!.points.length, 72, 'one point per hour');
 	t.match(row!.points.at(-1), {
 		counts: {
 			total: 600, notWhole: 9, timed: 600, slow: 120,
 		}, firstTokenP50Ms: 200,
 	});
-	t.ok(Math.abs(row!.points.at(-1)!.firstTokenP95Ms! - 1500) <= 15, 'the merged histograms give the late 20 of 100, within one percent');
+	t.ok(Math.abs(row!.points.at(-1)!.firstTokenP95Ms! - 1500) <= 15, 'the merged histograms show the 20 slow requests of 100 within one percent');
 	t.equal(row!.points.at(-2)!.firstTokenP95Ms, 200);
 	const teams = report.rows.slice(1);
 	t.same(teams.map(({teamId}) => teamId), ['fry-stands', 'marshals']);
 	t.equal(teams.reduce((sum, team) => sum + team.answeredWhole.rates[3]!.total, 0), 43_200, 'the teams add up to the service');
 });
 
-// An hour in which a fifth of the requests get no whole answer: 20% / 1% = 20
-// times the budget's rate in the last 5 minutes and the last hour, so somebody
-// is paged. 40 quiet minutes later two of the six bad batches are left in the
+// For one hour a fifth of the requests get no complete response: 20% / 1% = 20
+// times the allowed rate in the last 5 minutes and the last hour, which pages.
+// 40 minutes without failures later, two of the six bad batches remain in the
 // hour: 40 / 600 = 6.6667, and 120 / 1,000 = 12 in six hours still page. After
-// 100 quiet minutes the hour is clean and the six hours show 120 / 1,600 = 7.5:
-// nobody is paged, but a ticket tells that the budget is overspent.
-t.test('a page needs the long and the short window', async t => {
+// 100 minutes without failures the hour is clean and the six hours show
+// 120 / 1,600 = 7.5: no page, but a ticket reports that the budget is overspent.
+t.test('a page requires a high burn rate in both the long and the short window', async t => {
 	const counter = createBurnCounter();
 	for (let index = 5; index >= 0; index--) {
 		countBatch([counter], {atMs: endMs - (index * tenMinutesMs) - minuteMs, notWhole: 20, slow: 0});
 	}
 
-	t.equal(reportOf([counter]).rows[0]!.answeredWhole.alert, 'page');
+	t.equal(buildReport([counter]).rows[0]!.answeredWhole.alert, 'page');
 	for (let index = 1; index <= 4; index++) {
 		countBatch([counter], {atMs: endMs + (index * tenMinutesMs) - minuteMs, notWhole: 0, slow: 0});
 	}
 
-	const quiet = reportOf([counter], nowMs + (4 * tenMinutesMs)).rows[0]!.answeredWhole;
+	const quiet = buildReport([counter], nowMs + (4 * tenMinutesMs)).rows[0]!.answeredWhole;
 	t.same(quiet.rates.map(({window, rate}) => [window, rate]), [['5m', 0], ['1h', 6.6667], ['6h', 12], ['3d', 12]]);
-	t.equal(quiet.alert, 'page', 'the pair of 6h and 1h is still over 6');
+	t.equal(quiet.alert, 'page', 'the rates of 6h and 1h still exceed 6');
 	for (let index = 5; index <= 10; index++) {
 		countBatch([counter], {atMs: endMs + (index * tenMinutesMs) - minuteMs, notWhole: 0, slow: 0});
 	}
 
-	const later = reportOf([counter], nowMs + (10 * tenMinutesMs)).rows[0]!.answeredWhole;
+	const later = buildReport([counter], nowMs + (10 * tenMinutesMs)).rows[0]!.answeredWhole;
 	t.same(later.rates.map(({window, rate}) => [window, rate]), [['5m', 0], ['1h', 0], ['6h', 7.5], ['3d', 7.5]]);
-	t.equal(later.alert, 'ticket', 'over, but the budget is overspent');
+	t.equal(later.alert, 'ticket', 'the burn has stopped, but the budget is overspent');
 	t.equal(later.budgetLeftPercent, -650);
 });
 
-// Teams and time without end: the entry's memory must not grow with them.
-t.test('what is kept is bounded', async t => {
+// Without a bound, the entry's memory would grow with the number of teams and with time.
+t.test('limits the number of series and of retained buckets', async t => {
 	const counter = createBurnCounter({maxSeries: 3});
 	for (let team = 0; team < 50; team++) {
 		countSample(counter, {
@@ -127,7 +127,7 @@
 	const lastMs = nowMs + (10 * 24 * 60 * minuteMs) - minuteMs;
 	const [first, second] = exportCounts(counter, lastMs).series;
 	t.match(first, {minutes: {length: 60}, tenMinutes: {length: 432}});
-	t.match(second, {minutes: {length: 0}, tenMinutes: {length: 0}}, 'what has left the windows is not sent');
+	t.match(second, {minutes: {length: 0}, tenMinutes: {length: 0}}, 'buckets outside the windows are not exported');
 	t.equal(exportCounts(counter, lastMs).latencies[0]!.hours.length, 72);
 	t.ok(counter.latencies.get('s')!.hours.length <= 72);
 	t.ok(counter.series.get('s/team-0')!.minutes.length <= 61);
--- a/packages/coordination/test/rollouts.test.ts
+++ b/packages/coordination/test/rollouts.test.ts
@@ -14,7 +14,7 @@
 	type: 'startRollout', modelId: 'm', fromFleetId: 'old', toFleetId: 'new', percent: 100, stepPercent: 25, holdMs: 1000, maxErrorPercent: 10,
 };
 
-const createMoving = (readyHosts = 4): Catalog => {
+const createCatalogWithRollout = (readyHosts = 4): Catalog => {
 	const catalog = createCatalog();
 	const changes = [
 		{type: 'createModel', modelId: 'm'},
@@ -54,10 +54,10 @@
 
 const shareOf = (catalog: Catalog, fleetId: string): number => catalog.models.m!.traffic.find(share => share.fleetId === fleetId)?.percent ?? 0;
 
-// Ten callers in a hundred fail on the new provider after the first step. The
-// move stops where it is, by itself, and goes no further until an operator says.
-t.test('a move stops by itself when its target fails', async t => {
-	const catalog = createMoving();
+// Ten percent of the requests fail on the new provider after the first step. The
+// rollout halts at its current share, and does not continue until an operator resumes it.
+t.test('halts a rollout when its target fleet fails', async t => {
+	const catalog = createCatalogWithRollout();
 	const watch: RolloutWatch = new Map();
 	planAt(catalog, watch, 0);
 	for (const change of planAt(catalog, watch, 1)) {
@@ -66,7 +66,7 @@
 
 	t.equal(shareOf(catalog, 'new'), 25);
 	planAt(catalog, watch, 100, report(1000, 5));
-	t.same(planAt(catalog, watch, 500, report(1018, 7)), [], 'two failures say nothing');
+	t.same(planAt(catalog, watch, 500, report(1018, 7)), [], 'two failures are not significant');
 	const [halt] = planAt(catalog, watch, 600, report(1018, 8));
 	t.match(halt, {type: 'haltRollout', step: 1, detail: /3 of 21/v});
 	t.ok(apply(catalog, halt));
@@ -90,7 +90,7 @@
 });
 
 const planAfterStep = (before: ServiceCounts, after: ServiceCounts): CatalogChange[] => {
-	const catalog = createMoving();
+	const catalog = createCatalogWithRollout();
 	const watch: RolloutWatch = new Map();
 	planAt(catalog, watch, 0);
 	apply(catalog, planAt(catalog, watch, 1)[0]);
@@ -98,22 +98,23 @@
 	return planAt(catalog, watch, 500, serviceReport(after));
 };
 
-// The new provider answers every request whole, but late; and in the second case
-// callers are refused before any host is asked. No request to the new fleet fails,
-// so its error share says nothing, while the service's budget burns at a page's rate.
-t.test('a move stops by itself when the burn of its service rises', async t => {
+// In the first case the new provider answers every request completely, but late; in
+// the second, callers are refused before a request is sent to any host. No request
+// to the new fleet fails, so its error rate stays at zero, while the service's
+// budget burns at the rate of a paging alert.
+t.test('halts a rollout when the burn rate of its service rises', async t => {
 	t.match(planAfterStep({total: 1000, slow: 10}, {total: 1100, slow: 90}), [{type: 'haltRollout', step: 1, detail: /first token.*burns.*16/v}]);
 	t.match(planAfterStep({total: 1000}, {total: 1100, notWhole: 3}), [{type: 'haltRollout', step: 1, detail: /whole.*burns.*30/v}]);
-	t.same(planAfterStep({total: 1000, slow: 10}, {total: 1100, slow: 80}), [], 'a rate of 14 is below a page');
-	t.same(planAfterStep({total: 1000}, {total: 1010, notWhole: 2, slow: 2}), [], 'two requests say nothing');
-	t.same(planAfterStep({total: 1000, notWhole: 30}, {total: 1100, notWhole: 33}), [], 'it burned as fast before');
-	t.match(planAfterStep({total: 1000}, {total: 10, notWhole: 10}), [{type: 'haltRollout'}], 'an entry that restarted counts from 0');
+	t.same(planAfterStep({total: 1000, slow: 10}, {total: 1100, slow: 80}), [], 'a rate of 14 is below the paging threshold');
+	t.same(planAfterStep({total: 1000}, {total: 1010, notWhole: 2, slow: 2}), [], 'two requests are not significant');
+	t.same(planAfterStep({total: 1000, notWhole: 30}, {total: 1100, notWhole: 33}), [], 'the rate was as high before the step');
+	t.match(planAfterStep({total: 1000}, {total: 10, notWhole: 10}), [{type: 'haltRollout'}], 'a restarted entry counts from 0');
 });
 
-// An entry cannot be asked when a step begins, and is heard later with failures
-// from long before the step. They are over, and must not stop the move.
-t.test('a move is not stopped for what an entry counted before it was heard', async t => {
-	const catalog = createMoving();
+// An entry is unreachable when a step begins, and later reports failures from long
+// before the step. These past failures must not halt the rollout.
+t.test('does not halt a rollout for failures counted before an entry first reported', async t => {
+	const catalog = createCatalogWithRollout();
 	const watch: RolloutWatch = new Map();
 	planAt(catalog, watch, 0);
 	apply(catalog, planAt(catalog, watch, 1)[0]);
@@ -124,31 +125,31 @@
 	t.match(planAt(catalog, watch, 600, serviceReport({total: 1020, notWhole: 120})), [{type: 'haltRollout', detail: /20 of 20/v}]);
 });
 
-// One entry of two cannot be asked; its callers may be the ones that fail.
-// The move waits rather than go on without knowing.
-t.test('a move waits for the word of every entry, and for ready hosts', async t => {
-	const catalog = createMoving(1);
+// One of two entries is unreachable, and its callers may be the ones that fail.
+// The rollout must wait rather than continue without that entry's counts.
+t.test('does not advance a rollout until every entry reports and enough hosts are ready', async t => {
+	const catalog = createCatalogWithRollout(1);
 	const watch: RolloutWatch = new Map();
 	planAt(catalog, watch, 0);
 	t.same(planAt(catalog, watch, 5000, report(0, 0), false), []);
-	t.equal(planAt(catalog, watch, 5000).length, 1, 'one of four hosts carries a quarter');
+	t.equal(planAt(catalog, watch, 5000).length, 1, 'one of four hosts suffices for a quarter');
 	apply(catalog, planAt(catalog, watch, 5000)[0]);
 	planAt(catalog, watch, 6000);
-	t.same(planAt(catalog, watch, 9000), [], 'but not half');
+	t.same(planAt(catalog, watch, 9000), [], 'one host does not suffice for half');
 });
 
 const seed = 5005;
 
-// Leaders come and go in the middle of steps; their proposals are applied late,
-// twice, or after an operator's stop. What would be seen if a step could be done
-// twice: half of the traffic on a fleet that had proved itself for a quarter.
-t.test(`whoever proposes and whenever it is applied, each step is done once (seed ${seed})`, async t => {
-	let done = 0;
+// Leaders change in the middle of steps; their proposals are applied late, twice,
+// or after an operator's stop. If a step were executed twice, a fleet observed
+// with a quarter of the traffic would receive half of it.
+t.test(`executes each step once, whichever leader proposes it and whenever it is applied (seed ${seed})`, async t => {
+	let completedCount = 0;
 	const kinds = ['plan', 'pass', 'crash', 'apply', 'again', 'stop', 'resume'] as const;
 	const weights = [12, 8, 1, 12, 2, 1, 6];
 	const step = fc.oneof(...kinds.map((kind, position) => ({weight: weights[position]!, arbitrary: fc.constant(kind)})));
 	fc.assert(fc.property(fc.array(step, {minLength: 30, maxLength: 300, size: 'max'}), steps => {
-		const catalog = createMoving();
+		const catalog = createCatalogWithRollout();
 		let watch: RolloutWatch = new Map();
 		let nowMs = 0;
 		let movedAtMs = Number.NEGATIVE_INFINITY;
@@ -194,21 +195,21 @@
 				}
 			}
 
-			const now = catalog.rollouts.m!;
-			if (shareOf(catalog, 'new') !== now.movedPercent || shareOf(catalog, 'old') + shareOf(catalog, 'new') !== 100) {
-				throw new Error(`shares ${JSON.stringify(catalog.models.m!.traffic)} at ${now.movedPercent}%`);
+			const current = catalog.rollouts.m!;
+			if (shareOf(catalog, 'new') !== current.movedPercent || shareOf(catalog, 'old') + shareOf(catalog, 'new') !== 100) {
+				throw new Error(`shares ${JSON.stringify(catalog.models.m!.traffic)} at ${current.movedPercent}%`);
 			}
 
-			if (now.movedPercent !== before.movedPercent) {
-				if (before.state !== 'running' || now.movedPercent - before.movedPercent !== 25 || nowMs - movedAtMs < order.holdMs) {
-					throw new Error(`${step} moved from ${before.movedPercent}% to ${now.movedPercent}% in state ${before.state}, ${nowMs - movedAtMs} ms after the last`);
+			if (current.movedPercent !== before.movedPercent) {
+				if (before.state !== 'running' || current.movedPercent - before.movedPercent !== 25 || nowMs - movedAtMs < order.holdMs) {
+					throw new Error(`${step} moved from ${before.movedPercent}% to ${current.movedPercent}% in state ${before.state}, ${nowMs - movedAtMs} ms after the previous step`);
 				}
 
 				movedAtMs = nowMs;
 			}
 		}
 
-		done += catalog.rollouts.m!.state === 'done' ? 1 : 0;
+		completedCount += catalog.rollouts.m!.state === 'done' ? 1 : 0;
 	}), {seed, numRuns: 1000});
-	t.ok(done > 100, `${done} of 1000 moves came to their end`);
+	t.ok(completedCount > 100, `${completedCount} of 1000 rollouts completed`);
 });
