--- a/packages/coordination/src/configuration/host-configuration.ts
+++ b/packages/coordination/src/configuration/host-configuration.ts
@@ -4,20 +4,20 @@
 import type {RevisedChange, WatchResult} from '@bitternpaddle/protocol';
 import {decodeCatalog} from './snapshot-codec.js';
 
-/** Both clocks of a host. One of them may stand still while the machine is suspended. */
+/** Both clocks of a host. The monotonic one may stop while the machine is suspended. */
 export type HostTime = {
 	readonly monotonicMs: number;
 	readonly wallMs: number;
 };
 
-/** One host's copy of the configuration and its right to act on it. */
+/** One host's copy of the configuration, and the lease that permits it to act on that copy. */
 export type HostConfiguration = {
 	catalog: Catalog;
-	/** New work is refused once this has passed on either clock; 0 until a quorum was heard. */
+	/** The host refuses new requests after this time on either clock; 0 before the first lease that was granted with the support of a quorum. */
 	leaseUntil: HostTime;
-	/** The latest revision that was in force here; none before it is taken again. */
+	/** The latest revision that was in force on this host. Older revisions are rejected. */
 	floorRevision: number;
-	/** The system that this host belongs to, from the first copy that names one; a discarded copy does not change it. */
+	/** The system that this host belongs to, from the first copy that names one. Discarding a copy does not change it. */
 	systemId: string | null;
 };
 
@@ -30,12 +30,13 @@
 export type WatchOutcome = 'current' | 'advanced' | 'refusedOlder' | 'diverged' | 'unknownHost';
 
 /**
- * Takes the answer to a watch that was sent at `sentAt`. The lease counts
- * from the sending: an answer that lay in a silent connection for a while must
- * not grant time that control has already written off.
+ * Applies the answer to a watch request that was sent at `sentAt`. The lease
+ * starts when the request was sent: an answer delayed in a stalled connection
+ * must not extend the lease beyond the time at which the control plane treats
+ * it as expired.
  *
- * An older revision is refused: a control host that lags, or an answer that
- * comes late, must not take the host back to a state that was already replaced.
+ * An older revision is rejected: a control host that lags, or a late answer,
+ * must not revert the host to a configuration that was already replaced.
  */
 export const takeWatchResult = (configuration: HostConfiguration, result: WatchResult, sentAt: HostTime): WatchOutcome => {
 	if (result.type === 'unknownHost') {
@@ -51,7 +52,7 @@
 		configuration.catalog = decodeCatalog(result.catalog);
 	}
 
-	applyGap(configuration.catalog, result.changes);
+	applyMissingChanges(configuration.catalog, result.changes);
 	const {catalog} = configuration;
 	if (catalog.revision !== result.revision || catalog.digest !== result.digest) {
 		discardCopy(configuration);
@@ -67,13 +68,13 @@
 	return catalog.revision > before ? 'advanced' : 'current';
 };
 
-/** Starts anew from a snapshot; serving on from a diverged copy would be a state that nobody accepted. */
+/** Discards the copy, so that the host requests a snapshot. Continuing with a diverged copy would serve a configuration that was never accepted. */
 export const discardCopy = (configuration: HostConfiguration): void => {
 	configuration.catalog = createCatalog();
 	configuration.leaseUntil = noLease;
 };
 
-const applyGap = (catalog: Catalog, changes: readonly RevisedChange[]): void => {
+const applyMissingChanges = (catalog: Catalog, changes: readonly RevisedChange[]): void => {
 	for (const {index, change} of changes) {
 		if (index > catalog.revision) {
 			applyChange(catalog, change as CatalogChange, index);
@@ -82,18 +83,18 @@
 };
 
 /**
- * Whether the host may take new work now. Asked at each request, since a
- * process that was stopped or a machine that was suspended wakes with requests
- * already in its sockets, before any timer of it has run.
+ * Whether the host may accept new requests now. Checked for each request,
+ * because a process or machine that resumes from suspension has requests
+ * waiting in its sockets before any of its timers has run.
  */
 export const hasConfigurationLease = (configuration: HostConfiguration, now: HostTime): boolean => leaseLeftMs(configuration, now) > 0;
 
-/** What is left of the lease, by the clock that gives it less; not above 0 once it is over. */
+/** Remaining time of the lease by the clock on which it expires first; 0 or negative once it has expired. */
 export const leaseLeftMs = ({leaseUntil}: HostConfiguration, now: HostTime): number => Math.min(leaseUntil.monotonicMs - now.monotonicMs, leaseUntil.wallMs - now.wallMs);
 
 export type PeerComparison = 'equal' | 'behind' | 'ahead' | 'diverged';
 
-/** How this host's copy stands to the one that the other end of a request acts on. */
+/** Compares this host's copy with the one that the peer of a request uses. */
 export const compareWithPeer = ({catalog}: HostConfiguration, peer: {readonly revision: number; readonly digest: string | null}): PeerComparison => {
 	if (catalog.revision !== peer.revision) {
 		return catalog.revision < peer.revision ? 'behind' : 'ahead';
--- a/packages/coordination/src/configuration/lease-times.ts
+++ b/packages/coordination/src/configuration/lease-times.ts
@@ -1,37 +1,39 @@
 /**
- * Defaults of the chain from the leader to a host, in one place because only
- * together they bound how long a host that is cut off may act on a replaced
- * configuration: `max(hostLeaseMs, wordMs)` after the change was accepted.
- * That leaves half a second of the 3 s in which an endpoint that is drained
- * may still get work. The others are so short that a lost call or a failover
- * of control is over before a lease is (design 25).
+ * Default times for the path from the leader over a control host to a host.
+ * They are defined together because in combination they bound how long a
+ * partitioned host may act on a replaced configuration: `max(hostLeaseMs,
+ * leaderLeaseMs)` after the change was accepted. A drained endpoint may receive
+ * requests for at most 3 s, so this leaves half a second of margin. The other
+ * times are short enough that a lost call or a failover of the control plane
+ * ends before a lease expires (see
+ * docs/design/0025-how-long-a-lease-lasts.md).
  */
 export const leaseTimes = {
-	/** A host's lease, from the sending of its watch call. */
+	/** Duration of a host's lease, starting when the host sends its watch call. */
 	hostLeaseMs: 2500,
-	/** A control host answers watches this long on the leader's word, from its asking. */
+	/** Duration of the lease that the leader grants to a control host for answering watches, starting when the control host sends its request. */
 	wordMs: 2500,
-	/** How often a control host asks the leader. */
+	/** Interval at which a control host sends requests to the leader. */
 	askMs: 250,
-	/** A question to the leader without an answer is given up. */
+	/** Timeout of a request to the leader. */
 	askTimeoutMs: 750,
-	/** How long a control host may hold a watch call. */
+	/** Maximum time for which a control host holds a watch call (long poll). */
 	holdMs: 600,
-	/** A call is given up this long after the control host should have answered. */
-	answerMs: 500,
-	/** The same for an answer that may be a whole snapshot, and once the lease is lost anyway. */
+	/** A call times out this long after the control host should have answered. */
+	responseGraceMs: 500,
+	/** The same for an answer that may contain a complete snapshot, and for calls after the lease is lost. */
 	patientAnswerMs: 1500,
-	/** Pause of a host after a call that failed. */
+	/** Delay of a host after a failed call. */
 	retryMs: 100,
-	/** Shortest hold, for a call after one that failed or with little left of the lease. */
-	shortHoldMs: 100,
+	/** Minimum hold time, used after a failed call or when the lease is about to expire. */
+	minHoldMs: 100,
 } as const;
 
 export type WatchCallTimes = {readonly holdMs: number; readonly timeoutMs: number};
 
-export type WatchCallQuestion = {
+export type WatchCallContext = {
 	readonly hasCopy: boolean;
-	/** What is left of the host's lease. */
+	/** Remaining time of the host's lease. */
 	readonly leaseLeftMs: number;
 	readonly failuresInARow: number;
 	/** @default leaseTimes.holdMs */
@@ -39,19 +41,19 @@
 };
 
 /**
- * How long control may hold a host's next watch call, and when the host gives
- * it up. A call that is lost must be given up while the lease still has time
- * for another. While control fails over a lease ends with the leader's last
- * word, so a call that is held for longer than that would bring the next word
- * too late. A host without a copy has no lease to lose and is sent a whole
- * snapshot; after a second failure the lease is lost, and only an answer that
- * is given its time helps.
+ * Computes the hold time and the timeout of a host's next watch call. A lost
+ * call must time out while the lease leaves time for another one. During a
+ * failover of the control plane a host's lease ends with the last lease that the
+ * leader granted to its control host, so a call held for longer would renew it
+ * too late. A host without a copy has no lease to lose and receives a complete
+ * snapshot. After a second failure the lease is lost, so the call gets the long
+ * timeout to let a slow answer succeed.
  */
-export const watchCallTimes = ({hasCopy, leaseLeftMs, failuresInARow, holdMs = leaseTimes.holdMs}: WatchCallQuestion): WatchCallTimes => {
+export const watchCallTimes = ({hasCopy, leaseLeftMs, failuresInARow, holdMs = leaseTimes.holdMs}: WatchCallContext): WatchCallTimes => {
 	if (!hasCopy) {
 		return {holdMs, timeoutMs: holdMs + leaseTimes.patientAnswerMs};
 	}
 
-	const heldMs = Math.min(holdMs, failuresInARow === 0 ? Math.max(leaseTimes.shortHoldMs, Math.floor(leaseLeftMs / 2)) : leaseTimes.shortHoldMs);
-	return {holdMs: heldMs, timeoutMs: heldMs + (failuresInARow === 0 ? leaseTimes.answerMs : leaseTimes.patientAnswerMs)};
+	const heldMs = Math.min(holdMs, failuresInARow === 0 ? Math.max(leaseTimes.minHoldMs, Math.floor(leaseLeftMs / 2)) : leaseTimes.minHoldMs);
+	return {holdMs: heldMs, timeoutMs: heldMs + (failuresInARow === 0 ? leaseTimes.responseGraceMs : leaseTimes.patientAnswerMs)};
 };
--- a/packages/coordination/src/configuration/plan-membership.ts
+++ b/packages/coordination/src/configuration/plan-membership.ts
@@ -2,30 +2,30 @@
 import type {Catalog, Change, Readiness} from '@bitternpaddle/state';
 import {forgetHost, type Presence} from './presence.js';
 
-/** How many hosts may still be taken out of the configuration. */
-export type LossBudget = {tokens: number; filledAtMs: number};
+/** Token bucket that limits how many lost hosts are removed from the configuration. */
+export type LossBudget = {tokens: number; refilledAtMs: number};
 
-export const createLossBudget = (): LossBudget => ({tokens: 0, filledAtMs: Number.NEGATIVE_INFINITY});
+export const createLossBudget = (): LossBudget => ({tokens: 0, refilledAtMs: Number.NEGATIVE_INFINITY});
 
 export type PlanMembershipOptions = {
 	readonly catalog: Catalog;
 	readonly presence: Presence;
 	readonly budget: LossBudget;
 	readonly nowMs: number;
-	/** A host that is silent for this long may be lost. */
+	/** A host that is silent for this long is considered lost if an entry also fails to reach it. */
 	readonly hostLossMs: number;
 };
 
-/** Silence alone, without an entry that fails to reach the host, must last this much longer. */
-const silenceAloneFactor = 3;
-const lossShare = 0.02;
-const minLosses = 2;
+/** Without an entry that fails to reach the host, the silence must last this many times as long. */
+const unconfirmedLossFactor = 3;
+const maxLossShare = 0.02;
+const minLossesPerPeriod = 2;
 const lossPeriodMs = 60_000;
 
 /**
- * The changes that follow from what hosts reported: who came, who left, who
- * is lost, which versions are ready. Looks only at hosts whose report changed
- * and at silent ones.
+ * Derives configuration changes from the hosts' reports: hosts that joined,
+ * left or are lost, and versions that became ready. Only examines hosts whose
+ * report changed and silent ones.
  */
 export const planMembership = (options: PlanMembershipOptions): Change[] => {
 	const {catalog, presence} = options;
@@ -55,17 +55,17 @@
 	}
 
 	const {hostId, incarnation} = announcement;
-	const known = catalog.hosts[hostId];
+	const registered = catalog.hosts[hostId];
 	if (isLeaving) {
-		return known?.announcement.incarnation === incarnation ? {type: 'hostLeft', hostId, incarnation} : null;
+		return registered?.announcement.incarnation === incarnation ? {type: 'hostLeft', hostId, incarnation} : null;
 	}
 
-	if (known === undefined || known.announcement.incarnation < incarnation) {
+	if (registered === undefined || registered.announcement.incarnation < incarnation) {
 		return {type: 'hostJoined', announcement};
 	}
 
-	const isNewlyReady = known.announcement.incarnation === incarnation
-		&& (known.readyVersionId !== readyVersionId || !isSameList(known.readyAdapterIds ?? [], readyAdapterIds));
+	const isNewlyReady = registered.announcement.incarnation === incarnation
+		&& (registered.readyVersionId !== readyVersionId || !isEqualList(registered.readyAdapterIds ?? [], readyAdapterIds));
 	return isNewlyReady
 		? {
 			type: 'readiness', readiness: {
@@ -75,14 +75,14 @@
 		: null;
 };
 
-const isSameList = (a: readonly string[], b: readonly string[]): boolean => a.length === b.length && a.every((item, position) => item === b[position]);
+const isEqualList = (a: readonly string[], b: readonly string[]): boolean => a.length === b.length && a.every((item, position) => item === b[position]);
 
 /**
- * Takes lost hosts out, a bounded number a minute. A silent host has no lease
- * and gets no work, so keeping it costs its replica; taking it out moves its
- * assignment, which costs a transfer of weights. When a zone or a region is
- * cut off, removing all its hosts at once would send its weights to hosts
- * elsewhere in the worst minute, and back when it returns.
+ * Removes lost hosts, at a limited rate per minute. A silent host has no lease
+ * and receives no requests, so keeping it costs a replica; removing it moves
+ * its assignment, which costs a transfer of weights. If a zone or a region is
+ * partitioned, removing all its hosts at once would transfer its weights to
+ * other hosts during the outage, and back when it returns.
  */
 const planLosses = (options: PlanMembershipOptions): Change[] => {
 	const {catalog, presence, budget, nowMs} = options;
@@ -95,7 +95,7 @@
 		return [];
 	}
 
-	fillBudget(budget, Object.keys(catalog.hosts).length, nowMs);
+	refillBudget(budget, Object.keys(catalog.hosts).length, nowMs);
 	const changes: Change[] = [];
 	for (const hostId of lost) {
 		const host = catalog.hosts[hostId];
@@ -110,8 +110,8 @@
 	return changes;
 };
 
-/** One side alone does not take a host out at once: its line to control may be cut while it serves, or the lines of some entries. */
-const isLost = ({hostLossMs}: PlanMembershipOptions, isFailing: boolean, silentMs: number): boolean => silentMs > hostLossMs * (isFailing ? 1 : silenceAloneFactor);
+/** Silence towards the control plane alone does not remove a host at once: only its connection to the control plane may be down while it still serves. Neither does a failure at entries alone, whose own connections may be down. */
+const isLost = ({hostLossMs}: PlanMembershipOptions, isFailing: boolean, silentMs: number): boolean => silentMs > hostLossMs * (isFailing ? 1 : unconfirmedLossFactor);
 
 const failingHosts = (presence: Presence): Set<string> => {
 	const failing = new Set<string>();
@@ -128,8 +128,8 @@
 	return failing;
 };
 
-const fillBudget = (budget: LossBudget, hosts: number, nowMs: number): void => {
-	const perPeriod = Math.max(minLosses, Math.floor(hosts * lossShare));
-	budget.tokens = Math.min(perPeriod, budget.tokens + ((nowMs - budget.filledAtMs) / lossPeriodMs * perPeriod));
-	budget.filledAtMs = nowMs;
+const refillBudget = (budget: LossBudget, hosts: number, nowMs: number): void => {
+	const perPeriod = Math.max(minLossesPerPeriod, Math.floor(hosts * maxLossShare));
+	budget.tokens = Math.min(perPeriod, budget.tokens + ((nowMs - budget.refilledAtMs) / lossPeriodMs * perPeriod));
+	budget.refilledAtMs = nowMs;
 };
--- a/packages/coordination/src/configuration/presence.ts
+++ b/packages/coordination/src/configuration/presence.ts
@@ -1,11 +1,11 @@
 import type {Fold, HostReport, InForceResult} from '@bitternpaddle/protocol';
 
-/** A control host, as the leader hears it. */
+/** The leader's view of a control host. */
 export type MemberPresence = {
 	epoch: number;
 	sequence: number;
-	heardAtMs: number;
-	/** Its hosts are at this revision or later, except those in `behind`. */
+	receivedAtMs: number;
+	/** All its hosts are at this revision or later, except those in `behind`. */
 	revision: number;
 	behind: ReadonlyMap<string, number>;
 	readonly hosts: Set<string>;
@@ -18,14 +18,14 @@
 };
 
 /**
- * What the leader knows of hosts, in memory only. A message that says "as
- * before" costs nothing per host: a host is in service as long as its control
- * host is heard and has not called it silent.
+ * The leader's view of all hosts, held in memory only. A message that reports
+ * no changes costs nothing per host: a host is in service as long as messages
+ * of its control host arrive and do not report it as silent.
  */
 export type Presence = {
 	readonly members: Map<string, MemberPresence>;
 	readonly hosts: Map<string, HostPresence>;
-	/** Hosts that are not heard, with the time since when. */
+	/** Hosts that send no watch calls, with the time since when. */
 	readonly silent: Map<string, number>;
 	/** Hosts whose report may differ from the configuration. */
 	readonly changed: Set<string>;
@@ -33,9 +33,9 @@
 };
 
 export type PresenceOptions = {
-	/** A host renews at its control host for this long. */
+	/** Duration of the lease that a control host grants to a host. */
 	readonly hostLeaseMs: number;
-	/** A control host renews leases this long on the leader's word. */
+	/** Duration of the lease that the leader grants to a control host. */
 	readonly memberLeaseMs: number;
 };
 
@@ -43,7 +43,7 @@
 	members: new Map(), hosts: new Map(), silent: new Map(), changed: new Set(), options,
 });
 
-/** A new leader knows nobody yet: all hosts of the configuration count as silent from now on, until a control host names them. */
+/** Resets the view when a new leader starts: all hosts of the configuration count as silent from now on, until a control host reports them. */
 export const resetPresence = (presence: Presence, knownHostIds: readonly string[], nowMs: number): void => {
 	presence.members.clear();
 	presence.hosts.clear();
@@ -55,36 +55,37 @@
 };
 
 /**
- * Takes a control host's message; `false` if one before it was lost, so that
- * everything is needed. A message that was given up and comes late belongs to
- * an earlier epoch: it would count hosts as further than they are since.
+ * Records a control host's aggregated reports. Returns `false` if an earlier
+ * message was lost, so that the sender must send a full report. A late message
+ * that its sender abandoned belongs to an earlier epoch and is rejected: it
+ * could count hosts at a later revision than they have now.
  */
-export const hearFold = (presence: Presence, fold: Fold, nowMs: number): boolean => {
-	const known = presence.members.get(fold.from);
-	const isNext = fold.sequence === 0
-		? known === undefined || fold.epoch > known.epoch
-		: known?.epoch === fold.epoch && known.sequence === fold.sequence - 1;
+export const hearFold = (presence: Presence, aggregate: Fold, nowMs: number): boolean => {
+	const existing = presence.members.get(aggregate.from);
+	const isNext = aggregate.sequence === 0
+		? existing === undefined || aggregate.epoch > existing.epoch
+		: existing?.epoch === aggregate.epoch && existing.sequence === aggregate.sequence - 1;
 	if (!isNext) {
 		return false;
 	}
 
 	const member: MemberPresence = {
-		epoch: fold.epoch, sequence: fold.sequence, heardAtMs: nowMs, revision: fold.revision,
-		behind: new Map(fold.behind.map(({hostId, revision}) => [hostId, revision])), hosts: known?.hosts ?? new Set(),
+		epoch: aggregate.epoch, sequence: aggregate.sequence, receivedAtMs: nowMs, revision: aggregate.revision,
+		behind: new Map(aggregate.behind.map(({hostId, revision}) => [hostId, revision])), hosts: existing?.hosts ?? new Set(),
 	};
-	presence.members.set(fold.from, member);
-	if (fold.sequence === 0) {
-		forgetUnnamed(presence, member, new Set(fold.hosts.map(({report}) => report.hostId)), nowMs);
+	presence.members.set(aggregate.from, member);
+	if (aggregate.sequence === 0) {
+		markUnlistedSilent(presence, member, new Set(aggregate.hosts.map(({report}) => report.hostId)), nowMs);
 	}
 
-	for (const {session, report} of fold.hosts) {
-		hearHost(presence, fold.from, {session, report});
+	for (const {session, report} of aggregate.hosts) {
+		recordHost(presence, aggregate.from, {session, report});
 	}
 
-	for (const {hostId, session, silentMs} of fold.silent) {
+	for (const {hostId, session, silentMs} of aggregate.silent) {
 		const host = presence.hosts.get(hostId);
-		// A host that went elsewhere falls silent here; its newer session says so.
-		if (host?.memberId === fold.from && host.session === session) {
+		// A host that moved to another control host becomes silent at this one; its newer session shows that it moved.
+		if (host?.memberId === aggregate.from && host.session === session) {
 			member.hosts.delete(hostId);
 			presence.silent.set(hostId, nowMs - silentMs);
 		}
@@ -93,24 +94,24 @@
 	return true;
 };
 
-const forgetUnnamed = (presence: Presence, member: MemberPresence, named: ReadonlySet<string>, nowMs: number): void => {
+const markUnlistedSilent = (presence: Presence, member: MemberPresence, listed: ReadonlySet<string>, nowMs: number): void => {
 	for (const hostId of member.hosts) {
-		if (!named.has(hostId)) {
+		if (!listed.has(hostId)) {
 			member.hosts.delete(hostId);
 			presence.silent.set(hostId, nowMs);
 		}
 	}
 };
 
-const hearHost = (presence: Presence, memberId: string, {session, report}: Fold['hosts'][number]): void => {
+const recordHost = (presence: Presence, memberId: string, {session, report}: Fold['hosts'][number]): void => {
 	const {hostId} = report;
-	const known = presence.hosts.get(hostId);
-	if (known !== undefined && known.session > session) {
+	const existing = presence.hosts.get(hostId);
+	if (existing !== undefined && existing.session > session) {
 		return;
 	}
 
-	if (known !== undefined && known.memberId !== memberId) {
-		presence.members.get(known.memberId)?.hosts.delete(hostId);
+	if (existing !== undefined && existing.memberId !== memberId) {
+		presence.members.get(existing.memberId)?.hosts.delete(hostId);
 	}
 
 	presence.hosts.set(hostId, {report, session, memberId});
@@ -130,28 +131,28 @@
 	presence.changed.delete(hostId);
 };
 
-/** Hosts of a control host that fell silent are silent with it, unless another one names them. */
+/** Marks the hosts of silent control hosts as silent, unless another control host has reported them. */
 export const noteSilentMembers = (presence: Presence, nowMs: number): void => {
 	for (const [memberId, member] of presence.members) {
-		if (nowMs - member.heardAtMs <= presence.options.memberLeaseMs) {
+		if (nowMs - member.receivedAtMs <= presence.options.memberLeaseMs) {
 			continue;
 		}
 
 		presence.members.delete(memberId);
 		for (const hostId of member.hosts) {
-			// Its lease may have been renewed until the control host's own ran out.
-			presence.silent.set(hostId, member.heardAtMs + presence.options.memberLeaseMs);
+			// The control host may have renewed the host's lease until its own lease expired.
+			presence.silent.set(hostId, member.receivedAtMs + presence.options.memberLeaseMs);
 		}
 	}
 };
 
-/** A silent host may still serve until its lease has surely run out. */
+/** Whether a host is silent for so long that its lease has certainly expired; until then it may still serve. */
 export const isOutOfService = (presence: Presence, hostId: string, nowMs: number): boolean => {
 	const silentSinceMs = presence.silent.get(hostId);
 	return silentSinceMs !== undefined && nowMs - silentSinceMs > presence.options.hostLeaseMs;
 };
 
-/** The revision that a host last confirmed. */
+/** The latest revision that a host has confirmed. */
 export const confirmedRevision = (presence: Presence, hostId: string): number => {
 	const host = presence.hosts.get(hostId);
 	const member = host === undefined ? undefined : presence.members.get(host.memberId);
@@ -162,15 +163,15 @@
 	return member.behind.get(hostId) ?? Math.max(member.revision, host.report.revision);
 };
 
-const maxNamed = 100;
+const maxListedHosts = 100;
 
-/** On how many hosts `revision` is in force, out of those that serve or may serve. */
+/** Counts the hosts on which `revision` is in force, out of those that serve or may still serve. */
 export const inForceOf = (presence: Presence, revision: number, nowMs: number): InForceResult => {
 	const all = [...new Set([...presence.hosts.keys(), ...presence.silent.keys()])].toSorted();
 	const outOfService = all.filter(hostId => isOutOfService(presence, hostId, nowMs));
 	const serving = all.filter(hostId => !isOutOfService(presence, hostId, nowMs));
 	const missing = serving.filter(hostId => presence.silent.has(hostId) || confirmedRevision(presence, hostId) < revision);
 	return {
-		revision, hosts: serving.length, inForce: serving.length - missing.length, missing: missing.slice(0, maxNamed), outOfService: outOfService.slice(0, maxNamed),
+		revision, hosts: serving.length, inForce: serving.length - missing.length, missing: missing.slice(0, maxListedHosts), outOfService: outOfService.slice(0, maxListedHosts),
 	};
 };
--- a/packages/coordination/src/configuration/report-fold.ts
+++ b/packages/coordination/src/configuration/report-fold.ts
@@ -5,108 +5,108 @@
 	session: number;
 	revision: number;
 	report: HostReport;
-	/** What of the report the leader acts on, as text. */
-	essence: string;
-	heardAtMs: number;
-	/** The leader has yet to be told. */
-	isNews: boolean;
-	/** Heard since the present leader was. */
+	/** The part of the report that the leader acts on, as JSON. */
+	relevantPart: string;
+	receivedAtMs: number;
+	/** Whether the report has yet to be sent to the leader. */
+	hasUpdate: boolean;
+	/** Whether the host has called since the current leader became known. */
 	isCurrent: boolean;
 };
 
-/** The hosts that watch at one control host, and what its leader has been told of them. */
+/** Aggregates the reports of the hosts that watch at one control host, and tracks what was sent to the leader. */
 export type ReportFold = {
 	readonly memberId: string;
-	/** A host that is not heard for this long has no lease any more. */
+	/** A host that has not called for this long has no lease any more. */
 	readonly silentMs: number;
 	readonly watchers: Map<string, Watcher>;
-	readonly lost: Fold['silent'];
+	readonly silentHosts: Fold['silent'];
 	epoch: number;
-	/** Number of the next message; 0 when the leader must be told everything. */
+	/** Sequence number of the next message; 0 if it must be a full report. */
 	sequence: number;
 	sentAtMs: number;
-	/** Common revision and hosts behind it, as told last. */
-	toldRevision: number;
-	toldBehind: number;
+	/** Common revision, and number of hosts behind it, in the last message. */
+	sentRevision: number;
+	sentBehindCount: number;
 };
 
-/** Hosts below the common revision that one message names. */
+/** Maximum number of hosts below the common revision that one message lists. */
 const maxBehind = 32;
-/** Each question at the leader is such a message. A timer that fires a little early must not skip one. */
-export const foldIntervalMs = 0.8 * leaseTimes.askMs;
+/** Slightly below the interval of requests to the leader, each of which carries a message: a timer that fires early must not skip one. */
+export const aggregateIntervalMs = 0.8 * leaseTimes.askMs;
 
-export type ReportFoldOptions = {
+export type ReportAggregatorOptions = {
 	readonly memberId: string;
 	readonly silentMs: number;
-	/** Above that of any earlier start of this control host; the wall clock will do. */
+	/** Must be greater than in any earlier start of this control host, such as a wall-clock time. */
 	readonly epoch: number;
 };
 
-export const createReportFold = ({memberId, silentMs, epoch}: ReportFoldOptions): ReportFold => ({
-	memberId, silentMs, epoch, watchers: new Map(), lost: [], sequence: 0, sentAtMs: Number.NEGATIVE_INFINITY, toldRevision: 0, toldBehind: 0,
+export const createReportFold = ({memberId, silentMs, epoch}: ReportAggregatorOptions): ReportFold => ({
+	memberId, silentMs, epoch, watchers: new Map(), silentHosts: [], sequence: 0, sentAtMs: Number.NEGATIVE_INFINITY, sentRevision: 0, sentBehindCount: 0,
 });
 
-/** Load and progress change all the time and decide nothing at the leader, so they stay here until asked for. */
-const essenceOf = ({requestsInFlight, revision, transfers, fleetOutcomes, serviceOutcomes, ...rest}: HostReport): string => JSON.stringify(rest);
+/** Omits load and progress, which change constantly and do not affect the leader's decisions; they are sent only on request. */
+const relevantPartOf = ({requestsInFlight, revision, transfers, fleetOutcomes, serviceOutcomes, ...relevantFields}: HostReport): string => JSON.stringify(relevantFields);
 
-export type HeardWatch = {
+export type ReceivedWatch = {
 	readonly hostId: string;
 	readonly session: number;
 	readonly revision: number;
 	readonly report: HostReport | null;
 };
 
-/** Notes a call of a host. `false` if its report is needed and was not sent. */
-export const hearWatch = (fold: ReportFold, {hostId, session, revision, report}: HeardWatch, nowMs: number): boolean => {
-	const known = fold.watchers.get(hostId);
+/** Records a watch call of a host. Returns `false` if the call must be repeated with the host's report. */
+export const hearWatch = (aggregator: ReportFold, {hostId, session, revision, report}: ReceivedWatch, nowMs: number): boolean => {
+	const existing = aggregator.watchers.get(hostId);
 	if (report === null) {
-		if (known?.session !== session) {
+		if (existing?.session !== session) {
 			return false;
 		}
 
-		known.revision = revision;
-		known.heardAtMs = nowMs;
-		known.isNews ||= !known.isCurrent;
-		known.isCurrent = true;
+		existing.revision = revision;
+		existing.receivedAtMs = nowMs;
+		existing.hasUpdate ||= !existing.isCurrent;
+		existing.isCurrent = true;
 		return true;
 	}
 
-	const essence = essenceOf(report);
-	fold.watchers.set(hostId, {
-		session, revision, report, essence, heardAtMs: nowMs,
-		isNews: !known?.isCurrent || known.isNews || known.session !== session || known.essence !== essence,
+	const relevantPart = relevantPartOf(report);
+	aggregator.watchers.set(hostId, {
+		session, revision, report, relevantPart, receivedAtMs: nowMs,
+		hasUpdate: !existing?.isCurrent || existing.hasUpdate || existing.session !== session || existing.relevantPart !== relevantPart,
 		isCurrent: true,
 	});
 	return true;
 };
 
-/** Everything has to be told again: the fate of a message is not known. */
-export const restartFold = (fold: ReportFold): void => {
-	fold.epoch++;
-	fold.sequence = 0;
-	fold.lost.length = 0;
+/** Makes the next message a full report, because it is unknown whether the leader received the last one. */
+export const restartFold = (aggregator: ReportFold): void => {
+	aggregator.epoch++;
+	aggregator.sequence = 0;
+	aggregator.silentHosts.length = 0;
 };
 
 /**
- * Another leader is to be told everything, but of each host only once it calls
- * again. One that turned to another control host a moment ago is still among
- * the watchers here. The leader before knew its newer session; the next one
- * would take the old report for what holds, and call the host's replica not
- * ready while it serves, until the newer report arrives. A host that watches
- * here calls again within the time that a call is held.
+ * Makes the next message a full report to a new leader, in which each host is
+ * included only once it calls again. A host that has just moved to another
+ * control host is still among the watchers here. The previous leader knew its
+ * newer session, but a new leader would accept the outdated report and treat
+ * the host's replica as not ready, although it serves, until the newer report
+ * arrives. A host that still watches here calls again within the hold time.
  */
-export const startFoldForLeader = (fold: ReportFold): void => {
-	restartFold(fold);
-	for (const watcher of fold.watchers.values()) {
+export const startFoldForLeader = (aggregator: ReportFold): void => {
+	restartFold(aggregator);
+	for (const watcher of aggregator.watchers.values()) {
 		watcher.isCurrent = false;
 	}
 };
 
-const dropSilent = (fold: ReportFold, nowMs: number): void => {
-	for (const [hostId, {session, heardAtMs}] of fold.watchers) {
-		if (nowMs - heardAtMs > fold.silentMs) {
-			fold.watchers.delete(hostId);
-			fold.lost.push({hostId, session, silentMs: nowMs - heardAtMs});
+const dropSilentWatchers = (aggregator: ReportFold, nowMs: number): void => {
+	for (const [hostId, {session, receivedAtMs}] of aggregator.watchers) {
+		if (nowMs - receivedAtMs > aggregator.silentMs) {
+			aggregator.watchers.delete(hostId);
+			aggregator.silentHosts.push({hostId, session, silentMs: nowMs - receivedAtMs});
 		}
 	}
 };
@@ -117,40 +117,40 @@
 };
 
 /**
- * The next message to the leader, or `null` while there is nothing to say.
- * Whoever takes it sends it, and calls `restartFold` if that fails.
+ * Returns the next message to the leader, or `null` if there is nothing to
+ * report. The caller sends it, and calls `restartAggregator` if that fails.
  */
-export const takeFold = (fold: ReportFold, nowMs: number): Fold | null => {
-	dropSilent(fold, nowMs);
-	const isAll = fold.sequence === 0;
-	const watchers = [...fold.watchers].filter(([, {isCurrent}]) => isCurrent);
-	const news = watchers.filter(([, watcher]) => isAll || watcher.isNews);
+export const takeFold = (aggregator: ReportFold, nowMs: number): Fold | null => {
+	dropSilentWatchers(aggregator, nowMs);
+	const isFullReport = aggregator.sequence === 0;
+	const watchers = [...aggregator.watchers].filter(([, {isCurrent}]) => isCurrent);
+	const updates = watchers.filter(([, watcher]) => isFullReport || watcher.hasUpdate);
 	const revision = commonRevision(watchers.map(([, watcher]) => watcher));
 	const behind = watchers.filter(([, watcher]) => watcher.revision < revision).map(([hostId, watcher]) => ({hostId, revision: watcher.revision}));
-	const isDue = nowMs - fold.sentAtMs >= foldIntervalMs;
-	// An operator waits for a change to be in force, so its arrival is told at once.
-	const isFurther = revision !== fold.toldRevision || behind.length < fold.toldBehind;
-	if (!isDue && !isFurther && news.length === 0 && fold.lost.length === 0) {
+	const isDue = nowMs - aggregator.sentAtMs >= aggregateIntervalMs;
+	// Operators wait for a change to be in force, so progress is reported immediately.
+	const hasProgress = revision !== aggregator.sentRevision || behind.length < aggregator.sentBehindCount;
+	if (!isDue && !hasProgress && updates.length === 0 && aggregator.silentHosts.length === 0) {
 		return null;
 	}
 
 	const message: Fold = {
-		from: fold.memberId,
-		epoch: fold.epoch,
-		sequence: fold.sequence,
+		from: aggregator.memberId,
+		epoch: aggregator.epoch,
+		sequence: aggregator.sequence,
 		revision,
-		hosts: news.map(([, {session, report}]) => ({session, report})),
-		silent: [...fold.lost],
+		hosts: updates.map(([, {session, report}]) => ({session, report})),
+		silent: [...aggregator.silentHosts],
 		behind,
 	};
-	for (const [, watcher] of news) {
-		watcher.isNews = false;
+	for (const [, watcher] of updates) {
+		watcher.hasUpdate = false;
 	}
 
-	fold.lost.length = 0;
-	fold.sequence++;
-	fold.sentAtMs = nowMs;
-	fold.toldRevision = revision;
-	fold.toldBehind = behind.length;
+	aggregator.silentHosts.length = 0;
+	aggregator.sequence++;
+	aggregator.sentAtMs = nowMs;
+	aggregator.sentRevision = revision;
+	aggregator.sentBehindCount = behind.length;
 	return message;
 };
--- a/packages/coordination/src/configuration/snapshot-codec.ts
+++ b/packages/coordination/src/configuration/snapshot-codec.ts
@@ -5,10 +5,10 @@
 
 const compress = promisify(gzip);
 
-/** Above any catalog of the size that the system is built for; a larger one is damage. */
+/** Larger than any catalog that the system is designed for; data that decodes to more is corrupt. */
 const decodedLimitBytes = 256 * 1024 * 1024;
 
-/** JSON, gzip, base64: about a fifteenth of the JSON, since hosts resemble each other. */
+/** Encodes as base64 of gzipped JSON. The result is about a fifteenth of the JSON's size, since the records of hosts are similar. */
 export const encodeCatalog = async (catalog: Catalog): Promise<string> => {
 	const packed = await compress(JSON.stringify(catalog));
 	return packed.toString('base64');
--- a/packages/coordination/src/configuration/watch-grant.ts
+++ b/packages/coordination/src/configuration/watch-grant.ts
@@ -1,70 +1,72 @@
-/** The leader's last word to a control host, and until when that host may renew leases on it. */
+/** The latest lease that the leader granted to a control host; the control host may renew its hosts' leases until `untilMs`. */
 export type LeaderWord = {
-	/** This host's clock when it asked. */
+	/** When this control host sent the request, by its own clock. */
 	readonly askedAtMs: number;
 	readonly untilMs: number;
-	/** The leader's revision at some moment after `askedAtMs`. */
+	/** The leader's revision at some time after `requestedAtMs`. */
 	readonly revision: number;
 };
 
-export type WatchQuestion = {
+export type WatchDecisionOptions = {
 	readonly word: LeaderWord | null;
-	/** Revision of this control host's own copy. */
+	/** Revision of this control host's copy. */
 	readonly ownRevision: number;
 	readonly hostRevision: number;
-	/** When the call arrived here. */
+	/** When the call arrived at this control host. */
 	readonly arrivedAtMs: number;
 	readonly nowMs: number;
 };
 
 /**
- * - `answer`: there is news for the host.
- * - `hold`: the host is up to date; answer when there is news or its wait is over.
- * - `wait`: not to be answered yet, whatever the host's wait: this control host
- *   lags, or has not heard the leader since the call came.
- * - `noContact`: this control host may not speak for a quorum.
+ * - `answer`: there is an update for the host.
+ * - `hold`: the host is up to date; answer when there is an update or the hold time is over.
+ * - `wait`: must not be answered yet, even if the hold time is over: this control
+ *   host lags, or has had no response from the leader to a request sent after
+ *   the call arrived.
+ * - `noContact`: this control host has no valid lease from the leader.
  */
 export type WatchDecision = 'answer' | 'hold' | 'wait' | 'noContact';
 
 /**
- * Whether a control host may answer a watch, which renews the host's lease.
+ * Decides whether a control host may answer a watch, which renews the host's lease.
  *
- * A copy of the log alone is no right to answer. A control host that is cut
- * off, or that follows a leader which is itself cut off with it, would renew
- * leases for a configuration that was replaced long ago; the leader's word,
- * given while a quorum followed the leader, ends that within its time.
+ * Having a copy of the log is not sufficient. A control host that is
+ * partitioned, alone or together with its leader, would renew leases for a
+ * configuration that was replaced long ago. The leader grants its lease only
+ * while a quorum follows it, so its expiry bounds how long that can last.
  *
- * A host without a copy may have served a later revision before its restart,
- * which it cannot remember. If this control host lagged behind that, the host
- * would go back. So such a host is answered only from a revision that the
- * leader gave after the call had arrived: whatever the host served before its
+ * A host without a copy may have served a later revision before its restart.
+ * If this control host lagged behind that revision, answering would revert the
+ * host. Such a host is therefore answered only on a lease that was requested
+ * after the call had arrived: everything that the host served before its
  * restart was committed by then.
  */
-export const decideWatch = ({word, ownRevision, hostRevision, arrivedAtMs, nowMs}: WatchQuestion): WatchDecision => {
-	if (word === null || nowMs >= word.untilMs) {
+export const decideWatch = ({word: grant, ownRevision, hostRevision, arrivedAtMs, nowMs}: WatchDecisionOptions): WatchDecision => {
+	if (grant === null || nowMs >= grant.untilMs) {
 		return 'noContact';
 	}
 
-	const isConfirmed = hostRevision > 0 || word.askedAtMs > arrivedAtMs;
-	if (!isConfirmed || ownRevision < word.revision || ownRevision < hostRevision) {
+	const isConfirmed = hostRevision > 0 || grant.askedAtMs > arrivedAtMs;
+	if (!isConfirmed || ownRevision < grant.revision || ownRevision < hostRevision) {
 		return 'wait';
 	}
 
 	return ownRevision === hostRevision ? 'hold' : 'answer';
 };
 
-export type LeaseQuestion = {
+export type LeaseGrantOptions = {
 	readonly word: LeaderWord;
 	readonly hostLeaseMs: number;
-	/** When the call arrived here. */
+	/** When the call arrived at this control host. */
 	readonly arrivedAtMs: number;
 };
 
 /**
- * The lease that the answer to a watch grants. It ends with the word that it
- * rests on: else a host whose control host was cut off would go on for a whole
- * lease after the word's end, and a drained endpoint got work for the sum of
- * both. The host counts from its sending, which is not after the arrival, so
- * no common clock is needed. 0 if the word ended before.
+ * The lease that the answer to a watch grants to the host. It ends no later
+ * than the control host's own lease from the leader. Otherwise a host whose
+ * control host is partitioned would continue for another full lease, and a
+ * drained endpoint would receive requests for the sum of both. The host counts
+ * from when it sent the call, which is not after its arrival, so no common
+ * clock is needed. 0 if the leader's lease expired before the call arrived.
  */
-export const grantedLeaseMs = ({word, hostLeaseMs, arrivedAtMs}: LeaseQuestion): number => Math.max(0, Math.min(hostLeaseMs, word.untilMs - arrivedAtMs));
+export const grantedLeaseMs = ({word: grant, hostLeaseMs, arrivedAtMs}: LeaseGrantOptions): number => Math.max(0, Math.min(hostLeaseMs, grant.untilMs - arrivedAtMs));
--- a/packages/coordination/test/lease-times.test.ts
+++ b/packages/coordination/test/lease-times.test.ts
@@ -6,20 +6,20 @@
 
 const seed = 2505;
 const {hostLeaseMs, wordMs, askMs, askTimeoutMs, retryMs} = leaseTimes;
-const leavingBoundMs = 3000;
+const drainBoundMs = 3000;
 const runMs = 20_000;
 
-type HeardWord = LeaderWord & {readonly heardAtMs: number};
+type ReceivedLease = LeaderWord & {readonly receivedAtMs: number};
 
-type Trouble = {readonly startMs: number; readonly endMs: number};
+type Outage = {readonly startMs: number; readonly endMs: number};
 
-const isDuring = (atMs: number, {startMs, endMs}: Trouble): boolean => atMs >= startMs && atMs < endMs;
+const isDuring = (atMs: number, {startMs, endMs}: Outage): boolean => atMs >= startMs && atMs < endMs;
 
 const at = (ms: number): HostTime => ({monotonicMs: ms, wallMs: ms});
 
-/** What a control host hears from its leader; in `failover` its questions get no answer at all, as from a frozen leader. */
-const hearWords = (phaseMs: number, rttMs: number, failover: Trouble): HeardWord[] => {
-	const words: HeardWord[] = [];
+/** Leases that a control host receives from its leader. During `failover` its requests get no response at all, as from a suspended leader. */
+const receiveLeases = (phaseMs: number, rttMs: number, failover: Outage): ReceivedLease[] => {
+	const leaderLeases: ReceivedLease[] = [];
 	let freeAtMs = 0;
 	for (let askedAtMs = phaseMs; askedAtMs < runMs; askedAtMs += askMs) {
 		if (askedAtMs < freeAtMs) {
@@ -29,19 +29,19 @@
 		const isLost = isDuring(askedAtMs, failover) || isDuring(askedAtMs + rttMs, failover);
 		freeAtMs = askedAtMs + (isLost ? askTimeoutMs : rttMs);
 		if (!isLost) {
-			words.push({
-				askedAtMs, untilMs: askedAtMs + wordMs, revision: 1, heardAtMs: freeAtMs,
+			leaderLeases.push({
+				askedAtMs, untilMs: askedAtMs + wordMs, revision: 1, receivedAtMs: freeAtMs,
 			});
 		}
 	}
 
-	return words;
+	return leaderLeases;
 };
 
-type Watching = {readonly startMs: number; readonly rttMs: number; readonly words: readonly HeardWord[]; isLost(sentAtMs: number, call: number): boolean};
+type WatchSchedule = {readonly startMs: number; readonly rttMs: number; readonly leaderLeases: readonly ReceivedLease[]; isLost(sentAtMs: number, call: number): boolean};
 
-/** When a host that watches lost its lease, by its own loop of calls. */
-const gapsOf = ({startMs, rttMs, words, isLost}: Watching): number[] => {
+/** Times at which a watching host was without a lease, simulated with the host's own call loop. */
+const leaseGaps = ({startMs, rttMs, leaderLeases, isLost}: WatchSchedule): number[] => {
 	const host = createHostConfiguration();
 	host.catalog.revision = 1;
 	const gaps: number[] = [];
@@ -52,9 +52,9 @@
 		const {holdMs, timeoutMs} = watchCallTimes({hasCopy: true, leaseLeftMs: call === 0 ? hostLeaseMs : leaseLeftMs(host, at(sentAtMs)), failuresInARow});
 		const arrivedAtMs = sentAtMs + (rttMs / 2);
 		const answeredAtMs = arrivedAtMs + holdMs;
-		const word = words.findLast(({heardAtMs}) => heardAtMs <= answeredAtMs) ?? null;
+		const grant = leaderLeases.findLast(({receivedAtMs}) => receivedAtMs <= answeredAtMs) ?? null;
 		const decision = decideWatch({
-			word, ownRevision: 1, hostRevision: 1, arrivedAtMs, nowMs: answeredAtMs,
+			word: grant, ownRevision: 1, hostRevision: 1, arrivedAtMs, nowMs: answeredAtMs,
 		});
 		const isTimedOut = isLost(sentAtMs, call) || holdMs + rttMs > timeoutMs;
 		nowMs = isTimedOut ? sentAtMs + timeoutMs : answeredAtMs + (rttMs / 2);
@@ -70,7 +70,7 @@
 		}
 
 		takeWatchResult(host, {
-			type: 'changes', changes: [], revision: 1, digest: host.catalog.digest, leaseMs: grantedLeaseMs({word: word!, hostLeaseMs, arrivedAtMs}),
+			type: 'changes', changes: [], revision: 1, digest: host.catalog.digest, leaseMs: grantedLeaseMs({word: grant!, hostLeaseMs, arrivedAtMs}),
 		}, at(sentAtMs));
 	}
 
@@ -78,49 +78,49 @@
 };
 
 const phases = {phaseMs: fc.integer({min: 0, max: 249}), startMs: fc.integer({min: 2000, max: 2999}), rttMs: fc.integer({min: 0, max: 150})};
-const noTrouble: Trouble = {startMs: 0, endMs: 0};
-
-// An operator drains a host; its control host was cut off just after the leader's
-// last word, and answers the host's watch at the last moment of that word. What
-// the caller would see without the bound: work on a drained endpoint for the sum
-// of both leases. The lease must end with the word.
-t.test('the worst case from a drain to the end of the last lease', async t => {
-	fc.assert(fc.property(fc.integer({min: 0, max: wordMs - 1}), fc.integer({min: 0, max: 600}), (askToAnswerMs, onTheWayMs) => {
+const noOutage: Outage = {startMs: 0, endMs: 0};
+
+// An operator drains a host whose control host was partitioned just after the
+// leader granted its last lease, and which answers the host's watch at the end of
+// that lease. Without the bound, the drained endpoint would receive requests for
+// the sum of both leases. The host's lease must end with the leader's lease.
+t.test('ends the last lease within the drain bound in the worst case', async t => {
+	fc.assert(fc.property(fc.integer({min: 0, max: wordMs - 1}), fc.integer({min: 0, max: 600}), (requestToArrivalMs, inTransitMs) => {
 		const drainedAtMs = 10_000;
-		const word: LeaderWord = {askedAtMs: drainedAtMs, untilMs: drainedAtMs + wordMs, revision: 1};
-		const arrivedAtMs = drainedAtMs + askToAnswerMs;
-		const leaseMs = grantedLeaseMs({word, hostLeaseMs, arrivedAtMs});
-		return arrivedAtMs - onTheWayMs + leaseMs <= drainedAtMs + wordMs;
+		const grant: LeaderWord = {askedAtMs: drainedAtMs, untilMs: drainedAtMs + wordMs, revision: 1};
+		const arrivedAtMs = drainedAtMs + requestToArrivalMs;
+		const leaseMs = grantedLeaseMs({word: grant, hostLeaseMs, arrivedAtMs});
+		return arrivedAtMs - inTransitMs + leaseMs <= drainedAtMs + wordMs;
 	}), {seed, numRuns: 2000});
 	const leader: LeaderWord = {askedAtMs: Number.POSITIVE_INFINITY, untilMs: Number.POSITIVE_INFINITY, revision: 1};
-	t.equal(grantedLeaseMs({word: leader, hostLeaseMs, arrivedAtMs: 0}), hostLeaseMs, 'the leader itself grants a whole lease');
-	t.ok(Math.max(wordMs, hostLeaseMs) <= leavingBoundMs - 500, 'half a second is left of the bound');
+	t.equal(grantedLeaseMs({word: leader, hostLeaseMs, arrivedAtMs: 0}), hostLeaseMs, 'the leader itself grants a full lease');
+	t.ok(Math.max(wordMs, hostLeaseMs) <= drainBoundMs - 500, 'the drain bound leaves a margin of half a second');
 });
 
-// One watch call is lost, or control fails over (1.1 s at worst as measured) with
-// its leader frozen rather than gone, so that no question is even refused. A
-// caller would see a healthy host refuse work. The lease must outlast each.
-t.test(`a healthy host keeps its lease over one lost call (seed ${seed})`, async t => {
+// One watch call is lost, or the control plane fails over (for up to 1.1 s) while
+// its leader is suspended rather than stopped, so that requests are not refused
+// but time out. If the lease expired, a healthy host would refuse requests.
+t.test(`a healthy host keeps its lease when one call is lost (seed ${seed})`, async t => {
 	fc.assert(fc.property(fc.record({...phases, lostCall: fc.integer({min: 1, max: 9})}), ({phaseMs, startMs, rttMs, lostCall}) => {
-		const words = hearWords(phaseMs, rttMs, noTrouble);
-		return gapsOf({
-			startMs, rttMs, words, isLost: (_, call) => call === lostCall,
+		const leaderLeases = receiveLeases(phaseMs, rttMs, noOutage);
+		return leaseGaps({
+			startMs, rttMs, leaderLeases, isLost: (_, call) => call === lostCall,
 		}).length === 0;
 	}), {seed, numRuns: 5000});
 	t.pass('no gap in 5000 schedules');
 });
 
-t.test(`a healthy host keeps its lease over a failover of control (seed ${seed})`, async t => {
+t.test(`a healthy host keeps its lease during a failover of the control plane (seed ${seed})`, async t => {
 	const schedule = fc.record({
 		...phases, killedAtMs: fc.integer({min: 6000, max: 8000}), failoverMs: fc.integer({min: 0, max: 1100}), isAtLeader: fc.boolean(),
 	});
 	fc.assert(fc.property(schedule, ({phaseMs, startMs, rttMs, killedAtMs, failoverMs, isAtLeader}) => {
 		const failover = {startMs: killedAtMs, endMs: killedAtMs + failoverMs};
-		const words = hearWords(phaseMs, rttMs, failover);
+		const leaderLeases = receiveLeases(phaseMs, rttMs, failover);
 		let hasLeft = false;
-		return gapsOf({
-			startMs, rttMs, words,
-			// The frozen leader answers nothing; the first lost call makes the host turn elsewhere.
+		return leaseGaps({
+			startMs, rttMs, leaderLeases,
+			// The suspended leader does not respond; after the first lost call the host uses another control host.
 			isLost(sentAtMs) {
 				const isLostNow = isAtLeader && !hasLeft && sentAtMs + leaseTimes.holdMs + rttMs >= killedAtMs;
 				hasLeft ||= isLostNow;
--- a/packages/coordination/test/new-leader-reports.test.ts
+++ b/packages/coordination/test/new-leader-reports.test.ts
@@ -6,23 +6,23 @@
 
 const silentMs = 2500;
 
-const foldOf = (memberId: string): ReportFold => createReportFold({memberId, silentMs, epoch: 1});
+const aggregatorOf = (memberId: string): ReportFold => createReportFold({memberId, silentMs, epoch: 1});
 
 const reportOf = (readyVersionId: string | null): HostReport => ({
 	hostId: 'h1', role: 'agent', address: '127.0.0.1:1', revision: 5, requestsInFlight: 0, announcement: null,
 	readyVersionId: readyVersionId as HostReport['readyVersionId'], isLeaving: false, transfers: [],
 });
 
-const watch = (fold: ReportFold, session: number, report: HostReport | null, nowMs: number): boolean => hearWatch(fold, {
+const watch = (aggregator: ReportFold, session: number, report: HostReport | null, nowMs: number): boolean => hearWatch(aggregator, {
 	hostId: 'h1', session, revision: 5, report,
 }, nowMs);
 
-// A host tells one control host that it is not ready yet, turns to another a
-// moment later and is ready there. Then the first control host becomes the
-// leader, and knows nobody. If it took its own old report, callers would be
-// refused for "no endpoint is ready" although the host serves.
-t.test('a new leader hears no report that the host has replaced elsewhere', async t => {
-	const [first, second] = [foldOf('c1'), foldOf('c2')];
+// A host reports to one control host that it is not ready, moves to another and
+// reports there that it is ready. Then the first control host becomes the leader,
+// without knowledge of any host. If it used its own outdated report, callers
+// would be refused with "no endpoint is ready" although the host serves.
+t.test('does not send a new leader a report that the host has replaced at another control host', async t => {
+	const [first, second] = [aggregatorOf('c1'), aggregatorOf('c2')];
 	watch(first, 1, reportOf(null), 1000);
 	watch(second, 2, reportOf('pitch-desk:v1'), 1500);
 	const presence = createPresence({hostLeaseMs: silentMs, memberLeaseMs: silentMs});
@@ -30,26 +30,26 @@
 	startFoldForLeader(first);
 	startFoldForLeader(second);
 	t.ok(hearFold(presence, takeFold(first, 2000)!, 2000));
-	t.equal(presence.hosts.get('h1'), undefined, 'silent until it calls again');
-	t.ok(watch(second, 2, null, 2100), 'its next call, without a report');
+	t.equal(presence.hosts.get('h1'), undefined, 'the host is silent until it calls again');
+	t.ok(watch(second, 2, null, 2100), 'the next call carries no report');
 	t.ok(hearFold(presence, takeFold(second, 2100)!, 2100));
 	t.match(presence.hosts.get('h1'), {memberId: 'c2', report: {readyVersionId: 'pitch-desk:v1'}});
 	t.notOk(presence.silent.has('h1'));
-	const next = takeFold(first, 2300)!;
-	t.same(next.hosts, [], 'the old report is never told');
+	const laterMessage = takeFold(first, 2300)!;
+	t.same(laterMessage.hosts, [], 'the outdated report is never sent');
 });
 
-// A host that goes on calling where it watched is told to the next leader with
-// its next call, whether that carries its report or not.
-t.test('a host that stays is told with its next call', async t => {
+// A host that stays at its control host is reported to the next leader on its
+// next call, whether that call carries its report or not.
+t.test('reports a host that stays to a new leader on its next call', async t => {
 	for (const report of [null, reportOf('pitch-desk:v1')]) {
-		const fold = foldOf('c1');
-		watch(fold, 1, reportOf('pitch-desk:v1'), 1000);
-		t.equal(takeFold(fold, 1000)!.hosts.length, 1);
-		startFoldForLeader(fold);
-		t.same(takeFold(fold, 1300)!.hosts, []);
-		watch(fold, 1, report, 1400);
-		t.match(takeFold(fold, 1400)!.hosts, [{session: 1, report: {hostId: 'h1'}}]);
-		t.same(takeFold(fold, 1700)!.hosts, [], 'once');
+		const aggregator = aggregatorOf('c1');
+		watch(aggregator, 1, reportOf('pitch-desk:v1'), 1000);
+		t.equal(takeFold(aggregator, 1000)!.hosts.length, 1);
+		startFoldForLeader(aggregator);
+		t.same(takeFold(aggregator, 1300)!.hosts, []);
+		watch(aggregator, 1, report, 1400);
+		t.match(takeFold(aggregator, 1400)!.hosts, [{session: 1, report: {hostId: 'h1'}}]);
+		t.same(takeFold(aggregator, 1700)!.hosts, [], 'reported only once');
 	}
 });
--- a/packages/coordination/test/presence.test.ts
+++ b/packages/coordination/test/presence.test.ts
@@ -22,55 +22,55 @@
 	},
 });
 
-const renew = (fold: ReportFold, {hostId, revision, session = 1, nowMs}: {hostId: string; revision: number; session?: number; nowMs: number}): void => {
-	if (!hearWatch(fold, {
+const renew = (aggregator: ReportFold, {hostId, revision, session = 1, nowMs}: {hostId: string; revision: number; session?: number; nowMs: number}): void => {
+	if (!hearWatch(aggregator, {
 		hostId, session, revision, report: null,
 	}, nowMs)) {
-		hearWatch(fold, {
+		hearWatch(aggregator, {
 			hostId, session, revision, report: entryReport(hostId, revision),
 		}, nowMs);
 	}
 };
 
-const send = (presence: Presence, fold: ReportFold, nowMs: number): number => {
-	const message = takeFold(fold, nowMs);
+const send = (presence: Presence, aggregator: ReportFold, nowMs: number): number => {
+	const message = takeFold(aggregator, nowMs);
 	if (message === null) {
 		return 0;
 	}
 
 	if (!hearFold(presence, message, nowMs)) {
-		restartFold(fold);
+		restartFold(aggregator);
 	}
 
 	return JSON.stringify(message).length;
 };
 
-// 17 control hosts carry 12,330 hosts, each with a renewal a second. If the
-// leader were told of each, that would be all it does. A control host whose
-// hosts are as before says so in one message of the same size as for one host.
-t.test('an idle second costs the leader nothing per host', async t => {
-	const sizes = [1, 725].map(hosts => {
+// 17 control hosts serve 12,330 hosts, each of which renews its lease every
+// second. Reporting each renewal would saturate the leader. A control host whose
+// hosts are unchanged sends one message, as small as for a single host.
+t.test('sends the leader a message of constant size while no host changes', async t => {
+	const messageSizes = [1, 725].map(hosts => {
 		const presence = createPresence(options);
-		const fold = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
+		const aggregator = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
 		let idleBytes = 0;
 		for (let second = 0; second < 4; second++) {
 			for (let host = 0; host < hosts; host++) {
-				renew(fold, {hostId: `h${host}`, revision: 7, nowMs: second * 1000});
+				renew(aggregator, {hostId: `h${host}`, revision: 7, nowMs: second * 1000});
 			}
 
-			idleBytes = send(presence, fold, second * 1000);
+			idleBytes = send(presence, aggregator, second * 1000);
 		}
 
 		t.match(inForceOf(presence, 7, 3000), {hosts, inForce: hosts});
 		return idleBytes;
 	});
-	t.equal(sizes[0], sizes[1]);
-	t.ok(sizes[1]! < 150, `${sizes[1]} bytes`);
+	t.equal(messageSizes[0], messageSizes[1]);
+	t.ok(messageSizes[1]! < 150, `${messageSizes[1]} bytes`);
 });
 
-// A host turns from one control host to another. The old one calls it silent
-// afterwards; taken at its word, a living host would be lost.
-t.test('a host that moved is not lost when its old control host misses it', async t => {
+// A host moves from one control host to another, and the old one then reports it
+// as silent. If the leader accepted that report, a live host would be lost.
+t.test('ignores a silence report from the control host that a host has left', async t => {
 	const presence = createPresence(options);
 	const [before, after] = ['c1', 'c2'].map(memberId => createReportFold({memberId, silentMs: 5000, epoch: 1})) as [ReportFold, ReportFold];
 	renew(before, {hostId: 'h1', revision: 1, nowMs: 0});
@@ -84,14 +84,14 @@
 	t.equal(presence.hosts.get('h1')!.memberId, 'c2');
 });
 
-// The control host of a host is cut off from the leader. For a while the host
-// may serve on its lease, so it counts as missing; then its lease has surely run
-// out, and it counts on neither side.
-t.test('a host behind a cut is missing first and out of service later, never in force', async t => {
+// The control host of a host is partitioned from the leader. The host may serve
+// until its lease expires, so it counts as missing; once its lease has certainly
+// expired, it counts neither as in force nor as missing.
+t.test('counts a partitioned host as missing at first and as out of service once its lease expired', async t => {
 	const presence = createPresence(options);
-	const fold = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
-	renew(fold, {hostId: 'h1', revision: 5, nowMs: 0});
-	send(presence, fold, 0);
+	const aggregator = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
+	renew(aggregator, {hostId: 'h1', revision: 5, nowMs: 0});
+	send(presence, aggregator, 0);
 	t.match(inForceOf(presence, 5, 10), {hosts: 1, inForce: 1});
 	t.match(inForceOf(presence, 6, 10), {hosts: 1, inForce: 0, missing: ['h1']});
 	noteSilentMembers(presence, 3001);
@@ -102,40 +102,40 @@
 	});
 });
 
-// A host confirms late while the others are there. It is named, and counted once
-// it has confirmed; nothing else is sent for the others.
-t.test('a host that is behind is named until it confirms', async t => {
+// One host confirms a revision later than the others. It is listed as missing
+// until it confirms; nothing more is sent for the other hosts.
+t.test('lists a host that is behind until it confirms the revision', async t => {
 	const presence = createPresence(options);
-	const fold = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
+	const aggregator = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
 	for (const [hostId, revision] of [['h1', 5], ['h2', 5], ['h3', 5]] as const) {
-		renew(fold, {hostId, revision, nowMs: 0});
+		renew(aggregator, {hostId, revision, nowMs: 0});
 	}
 
-	send(presence, fold, 0);
-	renew(fold, {hostId: 'h1', revision: 6, nowMs: 1000});
-	renew(fold, {hostId: 'h3', revision: 6, nowMs: 1000});
-	send(presence, fold, 1000);
+	send(presence, aggregator, 0);
+	renew(aggregator, {hostId: 'h1', revision: 6, nowMs: 1000});
+	renew(aggregator, {hostId: 'h3', revision: 6, nowMs: 1000});
+	send(presence, aggregator, 1000);
 	t.match(inForceOf(presence, 6, 1000), {hosts: 3, inForce: 2, missing: ['h2']});
-	renew(fold, {hostId: 'h2', revision: 6, nowMs: 2000});
-	send(presence, fold, 2000);
+	renew(aggregator, {hostId: 'h2', revision: 6, nowMs: 2000});
+	send(presence, aggregator, 2000);
 	t.match(inForceOf(presence, 6, 2000), {hosts: 3, inForce: 3, missing: []});
 });
 
-// A message to the leader hangs in a connection that stalled; its sender gives it
-// up and says everything anew: the host has restarted and has no copy. Then the
-// old message arrives after all. Taken, it would count the host as in force.
-t.test('a message that was given up is not taken when it comes late', async t => {
+// A message to the leader is delayed in a stalled connection. Its sender abandons
+// it and sends a full report, since the host has restarted and has no copy. Then
+// the old message arrives. If accepted, it would count the host as in force.
+t.test('rejects an abandoned message that arrives late', async t => {
 	const presence = createPresence(options);
-	const fold = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
-	renew(fold, {hostId: 'h1', revision: 5, nowMs: 0});
-	const hanging = takeFold(fold, 0)!;
-	restartFold(fold);
-	renew(fold, {
+	const aggregator = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
+	renew(aggregator, {hostId: 'h1', revision: 5, nowMs: 0});
+	const abandoned = takeFold(aggregator, 0)!;
+	restartFold(aggregator);
+	renew(aggregator, {
 		hostId: 'h1', revision: 0, session: 2, nowMs: 1000,
 	});
-	send(presence, fold, 1000);
-	t.notOk(hearFold(presence, hanging, 1100), 'with everything, of an earlier epoch');
-	t.notOk(hearFold(presence, {...hanging, sequence: 1, hosts: []}, 1100), 'with a difference, of an earlier epoch');
+	send(presence, aggregator, 1000);
+	t.notOk(hearFold(presence, abandoned, 1100), 'full report of an earlier epoch');
+	t.notOk(hearFold(presence, {...abandoned, sequence: 1, hosts: []}, 1100), 'incremental report of an earlier epoch');
 	t.match(inForceOf(presence, 5, 1100), {hosts: 1, inForce: 0, missing: ['h1']});
 });
 
@@ -143,21 +143,21 @@
 
 type Step = readonly [kind: 'watch' | 'send' | 'lose' | 'late' | 'restart' | 'pass', at: number, host: number];
 
-// Hosts wander, messages to the leader are lost, control hosts fall silent. What
-// an operator would see if the sums went wrong: "in force on all" while a host
-// serves the old state. At each step no host that may
-// serve counts as further than it is, and none whose lease may last is called out
-// of service; when all is quiet again, everything is known.
-t.test(`whatever is lost on the way, the leader never counts too much (seed ${seed})`, async t => {
+// Hosts move between control hosts, messages to the leader are lost and control
+// hosts become silent. If the leader miscounted, an operator would see "in force
+// on all" while a host serves the old configuration. At each step, no host that
+// may serve counts at a later revision than it has, and no host whose lease may
+// be valid counts as out of service. Without further faults, all hosts are known.
+t.test(`never overestimates confirmed revisions under lost and late messages (seed ${seed})`, async t => {
 	const kind = fc.constantFrom('watch', 'watch', 'watch', 'send', 'send', 'lose', 'late', 'restart', 'pass');
 	const step = fc.tuple(kind, fc.nat(2), fc.nat(4)) as fc.Arbitrary<Step>;
 	fc.assert(fc.property(fc.array(step, {maxLength: 150}), steps => {
 		const presence = createPresence(options);
-		const folds = ['c0', 'c1', 'c2'].map(memberId => createReportFold({memberId, silentMs: 5000, epoch: 1}));
+		const aggregators = ['c0', 'c1', 'c2'].map(memberId => createReportFold({memberId, silentMs: 5000, epoch: 1}));
 		const hosts = Array.from({length: 5}, () => ({
-			revision: 0, floor: 0, session: 0, at: -1, leaseUntilMs: 0,
+			revision: 0, servedRevision: 0, session: 0, at: -1, leaseUntilMs: 0,
 		}));
-		const wordUntilMs = [0, 0, 0];
+		const memberLeaseUntilMs = [0, 0, 0];
 		let nowMs = 1;
 		const watch = (at: number, host: typeof hosts[number], hostId: string): void => {
 			if (host.at !== at) {
@@ -165,39 +165,39 @@
 				host.session++;
 			}
 
-			renew(folds[at]!, {
+			renew(aggregators[at]!, {
 				hostId, revision: host.revision, session: host.session, nowMs,
 			});
-			if (nowMs < wordUntilMs[at]!) {
-				// A host that restarted is given at least what it served before: configuration-schedules.test.ts.
-				host.revision = Math.max(host.revision, host.floor) + 1;
+			if (nowMs < memberLeaseUntilMs[at]!) {
+				// A restarted host receives at least the revision it served before; configuration-schedules.test.ts verifies that.
+				host.revision = Math.max(host.revision, host.servedRevision) + 1;
 				host.leaseUntilMs = nowMs + options.hostLeaseMs;
 			}
 		};
 
 		const deliver = (at: number): void => {
-			const message = takeFold(folds[at]!, nowMs);
+			const message = takeFold(aggregators[at]!, nowMs);
 			if (message !== null && hearFold(presence, message, nowMs)) {
-				wordUntilMs[at] = nowMs + options.memberLeaseMs;
+				memberLeaseUntilMs[at] = nowMs + options.memberLeaseMs;
 			} else if (message !== null) {
-				restartFold(folds[at]!);
+				restartFold(aggregators[at]!);
 			}
 		};
 
 		const lost: Fold[] = [];
-		const run = ([kind, at, number]: Step): void => {
+		const run = ([kind, at, hostIndex]: Step): void => {
 			match(kind)
 				.with('watch', () => {
-					watch(at, hosts[number]!, `h${number}`);
+					watch(at, hosts[hostIndex]!, `h${hostIndex}`);
 				})
 				.with('send', () => {
 					deliver(at);
 				})
 				.with('lose', () => {
-					const message = takeFold(folds[at]!, nowMs);
+					const message = takeFold(aggregators[at]!, nowMs);
 					if (message !== null) {
 						lost.push(message);
-						restartFold(folds[at]!);
+						restartFold(aggregators[at]!);
 					}
 				})
 				.with('late', () => {
@@ -207,13 +207,13 @@
 					}
 				})
 				.with('restart', () => {
-					const host = hosts[number]!;
+					const host = hosts[hostIndex]!;
 					Object.assign(host, {
-						revision: 0, floor: Math.max(host.revision, host.floor), at: -1, leaseUntilMs: 0,
+						revision: 0, servedRevision: Math.max(host.revision, host.servedRevision), at: -1, leaseUntilMs: 0,
 					});
 				})
 				.with('pass', () => {
-					nowMs += 700 * (number + 1);
+					nowMs += 700 * (hostIndex + 1);
 				})
 				.exhaustive();
 		};
@@ -223,11 +223,11 @@
 			noteSilentMembers(presence, nowMs);
 			for (const [position, host] of hosts.entries()) {
 				if (host.leaseUntilMs > nowMs && confirmedRevision(presence, `h${position}`) > host.revision) {
-					throw new Error(`h${position} counts as at ${confirmedRevision(presence, `h${position}`)}, it is at ${host.revision}`);
+					throw new Error(`h${position} counts as at revision ${confirmedRevision(presence, `h${position}`)}, but is at ${host.revision}`);
 				}
 
 				if (isOutOfService(presence, `h${position}`, nowMs) && host.leaseUntilMs > nowMs) {
-					throw new Error(`h${position} has a lease and counts as out of service`);
+					throw new Error(`h${position} has a lease but counts as out of service`);
 				}
 			}
 		}
@@ -244,7 +244,7 @@
 		}
 
 		if (presence.silent.size > 0 || presence.hosts.size !== 5) {
-			throw new Error(`${[...presence.silent.keys()].join(', ')} count as silent when all is quiet`);
+			throw new Error(`${[...presence.silent.keys()].join(', ')} count as silent although no fault remains`);
 		}
 	}), {seed, numRuns: 1500});
 	t.pass('1500 schedules');
@@ -265,56 +265,57 @@
 	}
 };
 
-// A zone of 100 out of 300 hosts is cut off and comes back after two minutes.
-// Taking all of them out at once would send their weights across the cut in its
-// first minute. At most 2 in 100 hosts a minute leave, and whoever returns before
-// its turn was never out.
-t.test('a zone that is cut off does not empty the configuration', async t => {
+// A zone of 100 out of 300 hosts is partitioned for two minutes. Removing all of
+// them at once would transfer their weights elsewhere in the first minute. At
+// most 2 in 100 hosts are removed per minute, and a host that returns before its
+// turn is not removed.
+t.test('removes the hosts of a partitioned zone at a limited rate', async t => {
 	const reports = Array.from({length: 300}, (_, index) => agentReport(`h${index}`, `z${index % 3}`));
 	const catalog = catalogOf(reports);
 	const presence = createPresence(options);
 	const budget = createLossBudget();
 	resetPresence(presence, reports.filter((_, index) => index % 3 === 0).map(({hostId}) => hostId), 0);
-	const planAt = (nowMs: number) => planMembership({
+	const planMembershipAt = (nowMs: number) => planMembership({
 		catalog, presence, budget, nowMs, hostLossMs: 10_000,
 	}) as CatalogChange[];
 
-	t.equal(planAt(10_000).length, 0, 'nobody before the bound');
-	let left = 0;
+	t.equal(planMembershipAt(10_000).length, 0, 'no host is removed before the time limit');
+	let leftCount = 0;
 	for (let nowMs = 31_000; nowMs < 151_000; nowMs += 1000) {
-		const changes = planAt(nowMs);
-		left += changes.length;
+		const changes = planMembershipAt(nowMs);
+		leftCount += changes.length;
 		applyAll(catalog, changes);
 		for (const change of changes) {
 			presence.silent.delete((change as {hostId: string}).hostId);
 		}
 	}
 
-	t.ok(left >= 6 && left <= 18, `${left} of 100 left in two minutes`);
-	t.equal(Object.keys(catalog.hosts).length, 300 - left);
+	t.ok(leftCount >= 6 && leftCount <= 18, `${leftCount} of 100 left in two minutes`);
+	t.equal(Object.keys(catalog.hosts).length, 300 - leftCount);
 });
 
-// An agent cannot reach control; entries still get answers from it. Then it is
-// gone for entries too. One side's view alone must last three times as long.
-t.test('silence at control and failures at an entry together lose a host, one alone later or not at all', async t => {
+// An agent cannot reach the control plane, but entries still get responses from
+// it. Then entries cannot reach it either. Silence alone must last three times as
+// long before the host is removed; failures at an entry alone never remove it.
+t.test('removes a host sooner if it is silent and unreachable for an entry than if it is only silent', async t => {
 	const catalog = catalogOf([agentReport('h1'), agentReport('h2')]);
 	const presence = createPresence(options);
-	const fold = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
-	const plan = (nowMs: number) => planMembership({
+	const aggregator = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
+	const plannedTypes = (nowMs: number) => planMembership({
 		catalog, presence, budget: createLossBudget(), nowMs, hostLossMs: 10_000,
 	}).map(change => change.type);
 
 	resetPresence(presence, ['h1'], 0);
-	hearWatch(fold, {
+	hearWatch(aggregator, {
 		hostId: 'h2', session: 1, revision: 1, report: agentReport('h2'),
 	}, 0);
-	send(presence, fold, 0);
-	t.same(plan(11_000), [], 'silence alone');
-	hearWatch(fold, {
+	send(presence, aggregator, 0);
+	t.same(plannedTypes(11_000), [], 'silence alone');
+	hearWatch(aggregator, {
 		hostId: 'e1', session: 1, revision: 1, report: entryReport('e1', 1, ['h1', 'h2']),
 	}, 11_000);
-	send(presence, fold, 1000);
-	t.same(plan(11_000), ['hostLeft'], 'silence and failures; not h2, which control hears');
+	send(presence, aggregator, 1000);
+	t.same(plannedTypes(11_000), ['hostLeft'], 'silence and failures; not h2, which is not silent');
 	presence.hosts.delete('e1');
-	t.same(plan(30_001), ['hostLeft'], 'long silence alone');
+	t.same(plannedTypes(30_001), ['hostLeft'], 'long silence alone');
 });
