--- a/packages/coordination/src/consensus/create-consensus.ts
+++ b/packages/coordination/src/consensus/create-consensus.ts
@@ -2,9 +2,10 @@
 import type {ConsensusOptions, ConsensusState} from './types.js';
 
 /**
- * A member as it stands after a start. It counts as having just heard a
- * leader: a voter that granted a vote right after a restart could elect a
- * second leader while the lease that it had granted before still runs.
+ * Creates the state of a member after a start. It is treated as if it had just
+ * received a message from a leader: a voter that granted a vote immediately
+ * after a restart could elect a second leader while the lease that it granted
+ * before the restart is still valid.
  */
 export const createConsensus = (options: ConsensusOptions): ConsensusState => {
 	const {
@@ -30,7 +31,7 @@
 		commitIndex: snapshot?.index ?? 0,
 		durableIndex: (snapshot?.index ?? 0) + entries.length,
 		electionDueAtMs: nowMs + random.between(electionTimeoutMs, 2 * electionTimeoutMs),
-		leaderHeardAtMs: nowMs,
+		lastLeaderMessageAtMs: nowMs,
 		contactAtMs: Number.NEGATIVE_INFINITY,
 		heartbeatDueAtMs: nowMs,
 		votes: new Set(),
--- a/packages/coordination/src/consensus/elect.ts
+++ b/packages/coordination/src/consensus/elect.ts
@@ -37,14 +37,14 @@
 export const isVoter = (state: ConsensusState): boolean => state.members.voters.includes(state.selfId);
 
 /**
- * Asks whether an election could be won before raising the term. A host that
- * was cut off would otherwise come back with a high term and depose a leader
- * that everybody else follows.
+ * Checks whether an election could be won before incrementing the term.
+ * Otherwise a host that returns from a partition with a higher term would
+ * depose a leader that all other hosts follow.
  */
 export const startPreVote = (state: ConsensusState, nowMs: number): ConsensusEffect[] => {
 	resetElectionTimer(state, nowMs);
 	if (!isVoter(state)) {
-		// A learner that the leader let go must notice, so that it asks to be taken in again.
+		// A learner that the leader removed must notice that it has no leader, so that it requests to be added again.
 		return changeRole(state, 'follower', null);
 	}
 
@@ -53,7 +53,7 @@
 	return [...effects, ...requestVotes(state, {isPreVote: true, isTransfer: false}), ...countVotes(state, nowMs)];
 };
 
-/** `isTransfer`: the leader asked for it, and has stepped down. */
+/** Starts an election. `isTransfer`: the leader requested it and has stepped down. */
 export const startElection = (state: ConsensusState, nowMs: number, isTransfer = false): ConsensusEffect[] => {
 	state.term++;
 	state.votedFor = state.selfId;
@@ -84,7 +84,7 @@
 	return state.role === 'candidate' ? becomeLeader(state, nowMs) : [];
 };
 
-/** A new leader commits an empty entry: only then does it know that all earlier ones are committed. */
+/** Takes the leadership and appends an empty entry: once it is committed, all earlier entries are known to be committed too. */
 const becomeLeader = (state: ConsensusState, nowMs: number): ConsensusEffect[] => {
 	const effects = changeRole(state, 'leader', state.selfId);
 	state.peers = new Map();
@@ -99,8 +99,8 @@
 
 export const onVoteRequest = (state: ConsensusState, from: string, request: MessageOf<'voteRequest'>, nowMs: number): ConsensusEffect[] => {
 	const effects: ConsensusEffect[] = [];
-	// Whoever heard a leader lately refuses, so that the lease it granted holds. A leader that hands over has given its lease up.
-	const followsLeader = request.isTransfer !== true && (state.role === 'leader' || nowMs < state.leaderHeardAtMs + state.options.electionTimeoutMs);
+	// A voter that recently received a message from a leader refuses, so that the lease that it granted stays exclusive. A leader that transfers the leadership has given up its lease.
+	const followsLeader = request.isTransfer !== true && (state.role === 'leader' || nowMs < state.lastLeaderMessageAtMs + state.options.electionTimeoutMs);
 	const isCurrent = request.lastTerm > lastTermOf(state)
 		|| (request.lastTerm === lastTermOf(state) && request.lastIndex >= lastIndexOf(state));
 	if (request.isPreVote) {
@@ -117,7 +117,7 @@
 	}
 
 	const isFree = state.votedFor === null || state.votedFor === from;
-	// Granted also by a host that doesn't know yet that it was made a voter; the candidate's log names the voters.
+	// A host grants its vote even if it does not know yet that it is a voter; the candidate's log determines the voters.
 	const granted = request.term === state.term && isCurrent && isFree;
 	if (granted) {
 		state.votedFor = from;
--- a/packages/coordination/src/consensus/follow.ts
+++ b/packages/coordination/src/consensus/follow.ts
@@ -11,111 +11,113 @@
 
 type MessageOf<Type extends ConsensusMessage['type']> = Extract<ConsensusMessage, {type: Type}>;
 
-/** The request's stamp by the leader's clock, and this host's clock. */
-type Answered = {readonly sentAtMs: number | null; readonly nowMs: number};
+/** When the leader sent the request, by its clock, and the current time of this host's clock. */
+type RequestTimes = {readonly sentAtMs: number | null; readonly nowMs: number};
 
-const respond = (state: ConsensusState, to: string, success: boolean, matchIndex: number, answered: Answered): ConsensusEffect => ({
+const respond = (state: ConsensusState, to: string, success: boolean, matchIndex: number, requestTimes: RequestTimes): ConsensusEffect => ({
 	type: 'send', to, afterSync: true, message: {
-		type: 'appendResponse', term: state.term, success, matchIndex, sentAtMs: answered.sentAtMs, stamp: {incarnation: state.incarnation, atMs: answered.nowMs},
+		type: 'appendResponse', term: state.term, success, matchIndex, sentAtMs: requestTimes.sentAtMs, stamp: {incarnation: state.incarnation, atMs: requestTimes.nowMs},
 	},
 });
 
 /**
- * Refuses a leader of an older term. The answer carries the current term, so
- * it must not carry the stamp: that host may lead again, after a restart with
- * another clock, and would take an old stamp for a fresh renewal.
+ * Rejects a message from a leader of an older term. The response carries the
+ * current term, so it must not carry the request's send time: that host may
+ * lead again after a restart with a different clock, and would accept the old
+ * time as a renewal of its lease.
  */
-const refuseOlderTerm = (state: ConsensusState, to: string, nowMs: number): ConsensusEffect[] => [respond(state, to, false, state.commitIndex, {sentAtMs: null, nowMs})];
+const rejectOlderTerm = (state: ConsensusState, to: string, nowMs: number): ConsensusEffect[] => [respond(state, to, false, state.commitIndex, {sentAtMs: null, nowMs})];
 
-/** Takes the sender for the leader of its term. */
+/** Accepts the sender as the leader of its term. */
 const followLeader = (state: ConsensusState, from: string, term: number, nowMs: number): ConsensusEffect[] => {
 	const effects = term > state.term ? adoptTerm(state, term, nowMs) : [];
 	if (state.votedFor === null) {
-		// No vote for anybody else in a term whose leader is known.
+		// Must not vote for another host in a term whose leader is known.
 		state.votedFor = from;
 		effects.push(persistHardState(state));
 	}
 
-	state.leaderHeardAtMs = nowMs;
+	state.lastLeaderMessageAtMs = nowMs;
 	resetElectionTimer(state, nowMs);
 	return [...effects, ...changeRole(state, 'follower', from)];
 };
 
 export const onAppendRequest = (state: ConsensusState, from: string, request: MessageOf<'appendRequest'>, nowMs: number): ConsensusEffect[] => {
 	if (request.term < state.term) {
-		return refuseOlderTerm(state, from, nowMs);
+		return rejectOlderTerm(state, from, nowMs);
 	}
 
 	const effects = followLeader(state, from, request.term, nowMs);
-	const answered = {sentAtMs: request.sentAtMs, nowMs};
+	const requestTimes = {sentAtMs: request.sentAtMs, nowMs};
 	const {previousIndex, previousTerm, entries} = request;
 	const isBeforeSnapshot = previousIndex < snapshotIndexOf(state);
 	if (!isBeforeSnapshot && termAt(state, previousIndex) !== previousTerm) {
-		return [...effects, respond(state, from, false, agreementHint(state, previousIndex), answered)];
+		return [...effects, respond(state, from, false, agreementHint(state, previousIndex), requestTimes)];
 	}
 
-	effects.push(...takeEntries(state, entries));
+	effects.push(...appendReceived(state, entries));
 	const matchIndex = Math.max(previousIndex + entries.length, isBeforeSnapshot ? snapshotIndexOf(state) : 0);
 	effects.push(...commitTo(state, Math.min(request.commitIndex, matchIndex)));
-	noteContact(state, request, nowMs);
-	return [...effects, respond(state, from, true, matchIndex, answered)];
+	recordContact(state, request, nowMs);
+	return [...effects, respond(state, from, true, matchIndex, requestTimes)];
 };
 
-/** Where the logs may agree: past a whole term of conflicting entries at once, and never before what is committed. */
+/** The index up to which the logs may match. Skips all conflicting entries of a term at once, and never goes below the commit index. */
 const agreementHint = (state: ConsensusState, previousIndex: number): number => {
 	const hint = previousIndex > lastIndexOf(state) ? lastIndexOf(state) : firstIndexOfTermAt(state, previousIndex) - 1;
 	return Math.max(hint, state.commitIndex);
 };
 
 /**
- * Contact counts from this host's own stamp that the leader sent back: the
- * leader had its quorum after that moment. A message that lay in a silent
- * connection, or one that this host can't follow yet, renews nothing.
+ * Records contact as of this host's own stamp, which the leader echoes: the
+ * leader had its quorum after that time. A message that was delayed in a
+ * stalled connection, or whose commit index this host has not reached, renews
+ * nothing.
  */
-const noteContact = (state: ConsensusState, {hasLease, echo, commitIndex}: MessageOf<'appendRequest'>, nowMs: number): void => {
+const recordContact = (state: ConsensusState, {hasLease, echo, commitIndex}: MessageOf<'appendRequest'>, nowMs: number): void => {
 	const isOwnEcho = echo?.incarnation === state.incarnation && echo.atMs <= nowMs;
 	if (hasLease && isOwnEcho && state.commitIndex >= commitIndex) {
 		state.contactAtMs = Math.max(state.contactAtMs, echo.atMs);
 	}
 };
 
-/** Appends what is new; cuts the own log only at a real conflict, since messages may come late or twice. */
-const takeEntries = (state: ConsensusState, entries: readonly LogEntry[]): ConsensusEffect[] => {
+/** Appends new entries. Truncates the log only at an actual conflict, because messages may arrive late or twice. */
+const appendReceived = (state: ConsensusState, entries: readonly LogEntry[]): ConsensusEffect[] => {
 	const firstNew = entries.findIndex(entry => entry.index > snapshotIndexOf(state) && termAt(state, entry.index) !== entry.term);
 	if (firstNew === -1) {
 		return [];
 	}
 
-	const added = entries.slice(firstNew);
-	const fromIndex = added[0]!.index;
+	const appended = entries.slice(firstNew);
+	const fromIndex = appended[0]!.index;
 	const truncateFrom = fromIndex <= lastIndexOf(state) ? fromIndex : null;
 	state.entries.length = fromIndex - snapshotIndexOf(state) - 1;
-	state.entries.push(...added);
+	state.entries.push(...appended);
 	state.durableIndex = Math.min(state.durableIndex, fromIndex - 1);
-	if (truncateFrom !== null || added.some(entry => entry.payload.type === 'members')) {
+	if (truncateFrom !== null || appended.some(entry => entry.payload.type === 'members')) {
 		state.members = membersInLog(state);
 	}
 
 	return [{
-		type: 'persist', hardState: null, truncateFrom, entries: added,
+		type: 'persist', hardState: null, truncateFrom, entries: appended,
 	}];
 };
 
 export const onSnapshotRequest = (state: ConsensusState, from: string, request: MessageOf<'snapshotRequest'>, nowMs: number): ConsensusEffect[] => {
 	if (request.term < state.term) {
-		return refuseOlderTerm(state, from, nowMs);
+		return rejectOlderTerm(state, from, nowMs);
 	}
 
 	const effects = followLeader(state, from, request.term, nowMs);
-	const answered = {sentAtMs: request.sentAtMs, nowMs};
+	const requestTimes = {sentAtMs: request.sentAtMs, nowMs};
 	const {snapshot} = request;
 	if (snapshot.index <= state.commitIndex) {
-		return [...effects, respond(state, from, true, state.commitIndex, answered)];
+		return [...effects, respond(state, from, true, state.commitIndex, requestTimes)];
 	}
 
 	if (termAt(state, snapshot.index) === snapshot.term) {
-		// A late snapshot of entries that are here must not drop those behind it, which this host has confirmed.
-		return [...effects, ...commitTo(state, snapshot.index), respond(state, from, true, snapshot.index, answered)];
+		// A late snapshot that covers entries of this log must not drop the entries after it, which this host has confirmed.
+		return [...effects, ...commitTo(state, snapshot.index), respond(state, from, true, snapshot.index, requestTimes)];
 	}
 
 	state.snapshot = snapshot;
@@ -126,6 +128,6 @@
 	return [
 		...effects,
 		{type: 'installSnapshot', snapshot, hardState: {term: state.term, votedFor: state.votedFor}},
-		respond(state, from, true, snapshot.index, answered),
+		respond(state, from, true, snapshot.index, requestTimes),
 	];
 };
--- a/packages/coordination/src/consensus/formation.ts
+++ b/packages/coordination/src/consensus/formation.ts
@@ -1,43 +1,43 @@
 import {memberIdOf} from './member-id.js';
 
-/** What one control host has durably noted about who the first voters are. */
+/** Durable record of one control host about the initial voters. */
 export type Formation = {
 	readonly diskId: string;
-	/** Disk of each first voter, by host; once noted it never changes. `null` while it isn't known. */
+	/** Disk of each initial voter, keyed by host; never changes once recorded. `null` while it is unknown. */
 	readonly accepted: Readonly<Record<string, string>> | null;
-	/** All first voters noted the same. */
+	/** Whether all initial voters have recorded the same set. */
 	readonly isFormed: boolean;
 };
 
-/** A host that got its members from the log; it forms nothing any more. */
+/** Record of a host that received its members from the log and so takes no part in the formation. */
 export const joinedFormation = ({diskId}: Formation): Formation => ({diskId, accepted: {}, isFormed: true});
 
 export type FormationView = {
 	readonly hostId: string;
 	readonly voters: readonly string[];
 	readonly own: Formation;
-	/** What other first voters answered, by host. */
+	/** Records received from the other initial voters, keyed by host. */
 	readonly answers: ReadonlyMap<string, Formation>;
 };
 
 /**
- * One round of agreeing who the first voters are. A host that lost its disk
- * must not vote under its old name: it may have voted before, and it no longer
- * holds what it was counted for. So a host votes only once every first voter,
- * each by its disk, has durably noted the same set. A host with an empty disk
- * that meets a noted set without its disk is a replacement: it waits for the
- * leader to take it in.
+ * Runs one round of the agreement on the initial voters. A host that lost its
+ * disk must not vote under its old id: it may have voted before, and it no
+ * longer holds the entries that it was counted for. So a host votes only once
+ * every initial voter, identified by its disk, has durably recorded the same
+ * set. A host with an empty disk that finds a recorded set without its disk is
+ * a replacement and waits until the leader adds it.
  */
-export const stepFormation = (view: FormationView): Formation => confirm({...view, own: accept(view)});
+export const stepFormation = (view: FormationView): Formation => confirmFormed({...view, own: acceptVoters(view)});
 
-const accept = ({hostId, voters, own, answers}: FormationView): Formation => {
+const acceptVoters = ({hostId, voters, own, answers}: FormationView): Formation => {
 	if (own.accepted !== null) {
 		return own;
 	}
 
-	const noted = [...answers.values()].find(({accepted}) => accepted !== null);
-	if (noted !== undefined) {
-		return noted.accepted![hostId] === own.diskId ? {...own, accepted: noted.accepted} : own;
+	const recorded = [...answers.values()].find(({accepted}) => accepted !== null);
+	if (recorded !== undefined) {
+		return recorded.accepted![hostId] === own.diskId ? {...own, accepted: recorded.accepted} : own;
 	}
 
 	const disks = voters.map(voter => [voter, voter === hostId ? own.diskId : answers.get(voter)?.diskId] as const);
@@ -46,7 +46,7 @@
 		: own;
 };
 
-const confirm = ({hostId, voters, own, answers}: FormationView): Formation => {
+const confirmFormed = ({hostId, voters, own, answers}: FormationView): Formation => {
 	if (own.accepted === null || own.isFormed) {
 		return own;
 	}
@@ -58,7 +58,7 @@
 	return {...own, isFormed};
 };
 
-/** Ids of the first voters; empty until they have formed, and for hosts that aren't among them. */
+/** Ids of the initial voters; empty until the group has formed, and on hosts that joined through the log. */
 export const formedVoters = ({accepted, isFormed}: Formation): string[] => isFormed
 	? Object.entries(accepted ?? {}).map(([hostId, diskId]) => memberIdOf(hostId, diskId))
 	: [];
--- a/packages/coordination/src/consensus/lead.ts
+++ b/packages/coordination/src/consensus/lead.ts
@@ -1,12 +1,12 @@
 import type {ConsensusMessage} from '@bitternpaddle/protocol';
 import type {LogEntry, Members} from '@bitternpaddle/state';
 import {adoptTerm, changeRole, resetElectionTimer} from './elect.js';
-import {commitIsOfOwnTerm, quorumHeardAtMs} from './lease.js';
+import {hasCommittedInOwnTerm, quorumHeardAtMs} from './lease.js';
 import {membersIndexInLog, snapshotIndexOf} from './log.js';
 import {
 	advanceCommit, appendOwn, broadcastAppend, sendAppend,
 } from './replicate.js';
-import {advanceTransfer, giveUpTransfer} from './transfer.js';
+import {advanceTransfer, abortOverdueTransfer} from './transfer.js';
 import type {ConsensusEffect, ConsensusState} from './types.js';
 
 type AppendResponse = Extract<ConsensusMessage, {type: 'appendResponse'}>;
@@ -21,7 +21,7 @@
 	}
 
 	if (payload.type === 'members') {
-		const reason = refuseMembers(state, payload.members);
+		const reason = rejectionReasonOf(state, payload.members);
 		if (reason !== null) {
 			return [{type: 'rejected', token, reason}];
 		}
@@ -33,17 +33,19 @@
 			type: 'proposed', token, index: entry.index, term: entry.term,
 		},
 		...effects,
-		...broadcastAppend(state, 'news', nowMs),
+		...broadcastAppend(state, 'update', nowMs),
 	];
 };
 
 /**
- * Two voter changes at once could leave two quorums without a common voter.
- * The same holds for a change of this term beside one of an older leader that
- * may yet be committed: hence the wait for an entry of the own term.
+ * Returns why a change of the members must be rejected, or `null`. Two
+ * concurrent voter changes could leave two quorums without a common voter. The
+ * same applies to a change of this term concurrent with one of an older leader
+ * that may still be committed; hence the wait for an entry of the leader's own
+ * term to be committed.
  */
-const refuseMembers = (state: ConsensusState, members: Members): 'membersBusy' | 'invalidMembers' | null => {
-	if (membersIndexInLog(state) > state.commitIndex || !commitIsOfOwnTerm(state)) {
+const rejectionReasonOf = (state: ConsensusState, members: Members): 'membersBusy' | 'invalidMembers' | null => {
+	if (membersIndexInLog(state) > state.commitIndex || !hasCommittedInOwnTerm(state)) {
 		return 'membersBusy';
 	}
 
@@ -63,10 +65,10 @@
 		return [];
 	}
 
-	progress.answeredSentAtMs = Math.max(progress.answeredSentAtMs, response.sentAtMs ?? Number.NEGATIVE_INFINITY);
+	progress.acknowledgedSentAtMs = Math.max(progress.acknowledgedSentAtMs, response.sentAtMs ?? Number.NEGATIVE_INFINITY);
 	progress.stamp = response.stamp;
 	if (!response.success) {
-		return onRefusedAppend(state, from, response.matchIndex, nowMs);
+		return onRejectedAppend(state, from, response.matchIndex, nowMs);
 	}
 
 	progress.matchIndex = Math.max(progress.matchIndex, response.matchIndex);
@@ -78,8 +80,8 @@
 	return [...advanceCommit(state, nowMs), ...sendAppend(state, from, 'answer', nowMs), ...advanceTransfer(state, nowMs)];
 };
 
-/** The logs differ before `nextIndex`, or a message on the way was lost or overtaken. */
-const onRefusedAppend = (state: ConsensusState, from: string, hintIndex: number, nowMs: number): ConsensusEffect[] => {
+/** Handles a rejection: the logs differ before `nextIndex`, or a message was lost or reordered. */
+const onRejectedAppend = (state: ConsensusState, from: string, hintIndex: number, nowMs: number): ConsensusEffect[] => {
 	const progress = state.peers.get(from)!;
 	if (progress.mode === 'snapshot') {
 		return [];
@@ -91,8 +93,8 @@
 };
 
 export const onLeaderTick = (state: ConsensusState, nowMs: number): ConsensusEffect[] => {
-	giveUpTransfer(state, nowMs);
-	// A leader without a quorum makes room: its hosts look for another, and its callers get an error instead of silence.
+	abortOverdueTransfer(state, nowMs);
+	// A leader without a quorum steps down, so that its hosts look for another leader and its callers get an error instead of no response.
 	if (nowMs - quorumHeardAtMs(state, nowMs) > state.options.electionTimeoutMs && nowMs >= state.electionDueAtMs) {
 		resetElectionTimer(state, nowMs);
 		return changeRole(state, 'follower', null);
--- a/packages/coordination/src/consensus/log.ts
+++ b/packages/coordination/src/consensus/log.ts
@@ -7,7 +7,7 @@
 
 export const entryAt = (state: ConsensusState, index: number): LogEntry | undefined => state.entries[index - snapshotIndexOf(state) - 1];
 
-/** `null` when the index lies before the snapshot or behind the log. */
+/** `null` if the index precedes the snapshot or is beyond the end of the log. */
 export const termAt = (state: ConsensusState, index: number): number | null => {
 	if (index === snapshotIndexOf(state)) {
 		return state.snapshot?.term ?? 0;
@@ -23,7 +23,7 @@
 	return state.entries.slice(start, start + limit);
 };
 
-/** The first index of the term that the entry at `index` has, as far as the log reaches back. */
+/** The first index, among the entries after the snapshot, of the term that the entry at `index` has. */
 export const firstIndexOfTermAt = (state: ConsensusState, index: number): number => {
 	const term = termAt(state, index);
 	let first = index;
@@ -34,10 +34,10 @@
 	return first;
 };
 
-/** The newest members in the log; they count from the moment they are appended. */
+/** The newest members in the log; they are effective as soon as they are appended. */
 export const membersInLog = (state: ConsensusState): Members => membersAt(state, lastIndexOf(state));
 
-/** The members that the log up to `index` names. */
+/** The members according to the log up to `index`. */
 export const membersAt = (state: ConsensusState, index: number): Members => {
 	for (let position = index - snapshotIndexOf(state) - 1; position >= 0; position--) {
 		const {payload} = state.entries[position]!;
--- a/packages/coordination/src/consensus/replicate.ts
+++ b/packages/coordination/src/consensus/replicate.ts
@@ -10,7 +10,7 @@
 	.filter(member => member !== state.selfId);
 
 export const createProgress = (nextIndex: number): PeerProgress => ({
-	matchIndex: 0, nextIndex, answeredSentAtMs: Number.NEGATIVE_INFINITY, mode: 'probe', snapshotSentAtMs: Number.NEGATIVE_INFINITY, stamp: null,
+	matchIndex: 0, nextIndex, acknowledgedSentAtMs: Number.NEGATIVE_INFINITY, mode: 'probe', snapshotSentAtMs: Number.NEGATIVE_INFINITY, stamp: null,
 });
 
 const progressOf = (state: ConsensusState, peer: string): PeerProgress => {
@@ -23,10 +23,10 @@
 	return progress;
 };
 
-/** Why a member is sent something now. */
-export type SendCause = 'heartbeat' | 'answer' | 'news' | 'committed';
+/** Event that triggers a message to a member: a due heartbeat, the member's response, newly appended entries, or a new commit index. */
+export type SendCause = 'heartbeat' | 'answer' | 'update' | 'committed';
 
-/** Sends a member what it lacks, within the bounds on what may be on its way. */
+/** Sends a member the entries that it lacks, within the limits on unacknowledged entries. */
 export const sendAppend = (state: ConsensusState, peer: string, cause: SendCause, nowMs: number): ConsensusEffect[] => {
 	const progress = progressOf(state, peer);
 	if (progress.mode !== 'snapshot' && progress.nextIndex <= snapshotIndexOf(state)) {
@@ -38,7 +38,7 @@
 		.with('snapshot', () => sendSnapshot(state, peer, cause, nowMs))
 		.with('probe', () => {
 			const entries = entriesFrom(state, progress.nextIndex, state.options.maxBatchEntries);
-			return cause === 'news' || cause === 'committed' ? [] : [appendRequest(state, peer, {previousIndex: progress.nextIndex - 1, entries}, nowMs)];
+			return cause === 'update' || cause === 'committed' ? [] : [appendRequest(state, peer, {previousIndex: progress.nextIndex - 1, entries}, nowMs)];
 		})
 		.with('stream', () => {
 			const inFlight = progress.nextIndex - 1 - progress.matchIndex;
@@ -49,7 +49,7 @@
 			}
 
 			const previousIndex = progress.nextIndex - 1;
-			// Sent on without waiting for the answer; a lost message shows as a refused one, which sets `nextIndex` back.
+			// Pipelined without waiting for the response. If a message is lost, a later one is rejected, which resets `nextIndex`.
 			progress.nextIndex += entries.length;
 			return [appendRequest(state, peer, {previousIndex, entries}, nowMs)];
 		})
@@ -57,9 +57,9 @@
 };
 
 /**
- * One snapshot at a time: sent again with each heartbeat it would fill the
- * link of the very host that is slow to take it. Meanwhile heartbeats behind
- * index 0, where all logs agree, keep the member from standing for election.
+ * Sends at most one snapshot at a time: repeated with each heartbeat, it would
+ * saturate the link of a host that is slow to receive it. Meanwhile heartbeats
+ * at index 0, where all logs match, prevent the member from starting an election.
  */
 const sendSnapshot = (state: ConsensusState, peer: string, cause: SendCause, nowMs: number): ConsensusEffect[] => {
 	const progress = progressOf(state, peer);
@@ -85,7 +85,7 @@
 export const broadcastAppend = (state: ConsensusState, cause: SendCause, nowMs: number): ConsensusEffect[] => otherMembers(state)
 	.flatMap(peer => sendAppend(state, peer, cause, nowMs));
 
-/** Appends to this host's own log; the entry counts for it once `persisted` says so. */
+/** Appends to the leader's own log. The entry counts towards its quorum after the `persisted` event. */
 export const appendOwn = (state: ConsensusState, payload: LogEntry['payload']): {entry: LogEntry; effects: ConsensusEffect[]} => {
 	const entry: LogEntry = {index: lastIndexOf(state) + 1, term: state.term, payload};
 	state.entries.push(entry);
@@ -101,9 +101,10 @@
 };
 
 /**
- * Moves the commit index to what a quorum has on disk, and tells the others at
- * once: hosts that watch there would otherwise wait for the next heartbeat.
- * Only entries of the own term count directly.
+ * Advances the commit index to the entries that a quorum has on disk, and sends
+ * it to the other members immediately: hosts that watch there would otherwise
+ * wait for the next heartbeat. Only entries of the leader's own term can be
+ * committed directly.
  */
 export const advanceCommit = (state: ConsensusState, nowMs: number): ConsensusEffect[] => {
 	const matched = state.members.voters
--- a/packages/coordination/src/consensus/step.ts
+++ b/packages/coordination/src/consensus/step.ts
@@ -12,8 +12,8 @@
 import type {ConsensusEffect, ConsensusEvent, ConsensusState} from './types.js';
 
 /**
- * The published Raft rules as one step: takes an event, changes `state` in
- * place and returns what the host has to do, in order.
+ * Implements one step of Raft: processes an event, modifies `state` in place
+ * and returns the effects that the host has to perform, in order.
  *
  * Source: D. Ongaro, J. Ousterhout, "In Search of an Understandable Consensus
  * Algorithm", 2014; pre-vote and one-at-a-time changes from Ongaro's thesis.
@@ -46,7 +46,7 @@
 	.exhaustive();
 
 const onPersisted = (state: ConsensusState, index: number, term: number, nowMs: number): ConsensusEffect[] => {
-	// An entry that was overwritten while it was being synced must not count.
+	// An entry that was overwritten while it was being synced must not count as durable.
 	if (termAt(state, index) === term) {
 		state.durableIndex = Math.max(state.durableIndex, index);
 	}
--- a/packages/coordination/src/consensus/transfer.ts
+++ b/packages/coordination/src/consensus/transfer.ts
@@ -9,8 +9,8 @@
 type TimeoutNow = Extract<ConsensusMessage, {type: 'timeoutNow'}>;
 
 /**
- * Begins to hand the leadership over: no proposal is taken from now on, and
- * every member is asked for a sign of life.
+ * Starts a leadership transfer: proposals are rejected from now on, and every
+ * member is sent a heartbeat to find out which ones respond.
  *
  * Source: leadership transfer in Ongaro's thesis, section 3.10.
  */
@@ -24,30 +24,31 @@
 	return broadcastAppend(state, 'heartbeat', nowMs);
 };
 
-/** A voter that answered since the transfer began and has every entry on disk; the one that answered last. */
-const transferTarget = (state: ConsensusState, sinceMs: number): string | undefined => state.members.voters
+/** The voter that responded most recently, among those that responded since the transfer started and have every entry on disk. */
+const transferTarget = (state: ConsensusState, startedAtMs: number): string | undefined => state.members.voters
 	.filter(voter => {
 		const progress = state.peers.get(voter);
-		return voter !== state.selfId && progress !== undefined && progress.answeredSentAtMs >= sinceMs && progress.matchIndex === lastIndexOf(state);
+		return voter !== state.selfId && progress !== undefined && progress.acknowledgedSentAtMs >= startedAtMs && progress.matchIndex === lastIndexOf(state);
 	})
-	.toSorted((a, b) => state.peers.get(b)!.answeredSentAtMs - state.peers.get(a)!.answeredSentAtMs)
+	.toSorted((a, b) => state.peers.get(b)!.acknowledgedSentAtMs - state.peers.get(a)!.acknowledgedSentAtMs)
 	.at(0);
 
 /**
- * Tells a voter to stand for election once everything that was proposed here is
- * committed, so that each proposer has its answer.
+ * Sends a voter the request to start an election once all proposals are
+ * committed, so that each proposer receives its result.
  *
- * The leader is a follower before the message leaves, and never leads this term
- * again: voters grant the transfer's votes while they still hear a leader, so a
- * leader that took its lease up again would answer beside the next one.
+ * The leader becomes a follower before the message is sent and never leads this
+ * term again: voters grant votes for a transfer even if they recently received
+ * messages from the leader, so a leader that resumed its lease would answer
+ * concurrently with the next leader.
  */
 export const advanceTransfer = (state: ConsensusState, nowMs: number): ConsensusEffect[] => {
-	const {transferSinceMs: sinceMs, term} = state;
-	if (sinceMs === null || state.commitIndex < lastIndexOf(state)) {
+	const {transferSinceMs: startedAtMs, term} = state;
+	if (startedAtMs === null || state.commitIndex < lastIndexOf(state)) {
 		return [];
 	}
 
-	const target = transferTarget(state, sinceMs);
+	const target = transferTarget(state, startedAtMs);
 	if (target === undefined) {
 		return [];
 	}
@@ -61,14 +62,14 @@
 	];
 };
 
-/** A transfer for which no voter is ready in time is given up; nothing was sent, so the leader goes on. */
-export const giveUpTransfer = (state: ConsensusState, nowMs: number): void => {
+/** Aborts a transfer for which no voter became ready in time. No request to start an election was sent, so the leader can continue. */
+export const abortOverdueTransfer = (state: ConsensusState, nowMs: number): void => {
 	if (state.transferSinceMs !== null && nowMs - state.transferSinceMs > state.options.electionTimeoutMs) {
 		state.transferSinceMs = null;
 	}
 };
 
-/** Stands for election without a pre-vote. One that is late or comes twice is of an older term. */
+/** Starts an election without a pre-vote. A late or duplicate message belongs to an older term and is ignored. */
 export const onTimeoutNow = (state: ConsensusState, {term}: TimeoutNow, nowMs: number): ConsensusEffect[] => term === state.term && state.role !== 'leader' && isVoter(state)
 	? startElection(state, nowMs, true)
 	: [];
--- a/packages/coordination/test/consensus-schedules.test.ts
+++ b/packages/coordination/test/consensus-schedules.test.ts
@@ -8,19 +8,19 @@
 const seed = Number(process.env.BITTERNPADDLE_SEED ?? 20_261_202);
 const schedules = Number(process.env.BITTERNPADDLE_SCHEDULES ?? 150);
 
-type Act = (simulation: Simulation, pick: number, amount: number) => void;
+type FaultStep = (simulation: Simulation, pick: number, amount: number) => void;
 
 const hostAt = (simulation: Simulation, pick: number) => simulation.hosts[pick % simulation.hosts.length]!;
 
-const acts: Record<string, Act> = {
-	quiet(simulation, _pick, amount) {
+const faultSteps: Record<string, FaultStep> = {
+	runWithoutFaults(simulation, _pick, amount) {
 		simulation.run(50 + (100 * (amount % 20)), true);
 	},
-	pass(simulation, _pick, amount) {
+	runWithoutDelivery(simulation, _pick, amount) {
 		simulation.run(50 + (100 * (amount % 8)), false);
 	},
-	/** Fine-grained disorder: some hosts sync, some messages arrive, one in a while crashes and is back at once. */
-	stir(simulation, pick, amount) {
+	/** Fine-grained reordering: some hosts sync, some messages are delivered, and occasionally a host crashes and restarts immediately. */
+	reorder(simulation, pick, amount) {
 		const random = createRandom((1000 * pick) + amount + 1);
 		for (let round = 0; round < 20; round++) {
 			simulation.run(random.between(0, 2) * 50, false);
@@ -32,12 +32,12 @@
 
 			const packets = simulation.packets.splice(0);
 			for (const packet of packets) {
-				const luck = random.between(0, 9);
-				if (luck < 7) {
+				const outcome = random.between(0, 9);
+				if (outcome < 7) {
 					simulation.deliver(packet);
 				}
 
-				if (luck === 6 || luck === 7) {
+				if (outcome === 6 || outcome === 7) {
 					simulation.packets.push(packet);
 				}
 			}
@@ -84,8 +84,8 @@
 			simulation.crash(leader, amount % 4);
 		}
 	},
-	/** Its messages come late, twice or never, like all others. */
-	handOver(simulation, pick) {
+	/** The messages of the transfer are delayed, duplicated or lost like all others. */
+	transferLeadership(simulation, pick) {
 		simulation.dispatch(simulation.leader() ?? hostAt(simulation, pick), {type: 'transferLeadership'});
 	},
 	restart(simulation, pick) {
@@ -96,46 +96,46 @@
 			simulation.restart(node);
 		}
 	},
-	/** At most one at a time: a second while a voter is being replaced is a lost quorum, which nothing can mend. */
+	/** At most one disk at a time: losing a second one while a voter is being replaced loses the quorum, which cannot be recovered. */
 	loseDisk(simulation, pick) {
 		const node = hostAt(simulation, pick);
 		const leader = simulation.leader();
-		const isSpare = !simulation.hosts.some(({state}) => state.members.voters.includes(node.id));
+		const isNonVoter = !simulation.hosts.some(({state}) => state.members.voters.includes(node.id));
 		const voters = leader?.state.members.voters ?? [];
-		const isWhole = voters.length === 3 && leader!.state.durableIndex === leader!.state.commitIndex
+		const isFullyReplicated = voters.length === 3 && leader!.state.durableIndex === leader!.state.commitIndex
 			&& voters.every(id => simulation.nodes.get(id)?.isUp && simulation.nodes.get(id)!.disk.entries.at(-1)?.index === leader!.state.entries.at(-1)?.index);
-		if (isSpare || isWhole) {
+		if (isNonVoter || isFullyReplicated) {
 			simulation.loseDisk(node);
 		}
 	},
-	freeze(simulation, pick) {
-		hostAt(simulation, pick).isFrozen = true;
+	suspend(simulation, pick) {
+		hostAt(simulation, pick).isSuspended = true;
 	},
-	wake(simulation) {
+	resume(simulation) {
 		for (const node of simulation.hosts) {
-			node.isFrozen = false;
+			node.isSuspended = false;
 		}
 	},
-	cutHost(simulation, pick) {
-		const cut = hostIds[pick % hostIds.length]!;
+	partitionHost(simulation, pick) {
+		const partitioned = hostIds[pick % hostIds.length]!;
 		for (const other of hostIds) {
-			simulation.cuts.add(`${cut}>${other}`).add(`${other}>${cut}`);
+			simulation.partitions.add(`${partitioned}>${other}`).add(`${other}>${partitioned}`);
 		}
 	},
-	cutHalf(simulation, pick) {
+	partitionHalf(simulation, pick) {
 		for (const from of hostIds) {
 			for (const to of hostIds) {
 				if ((hostIds.indexOf(from) + pick) % 2 !== (hostIds.indexOf(to) + pick) % 2) {
-					simulation.cuts.add(`${from}>${to}`);
+					simulation.partitions.add(`${from}>${to}`);
 				}
 			}
 		}
 	},
-	cutOneWay(simulation, pick, amount) {
-		simulation.cuts.add(`${hostIds[pick % hostIds.length]}>${hostIds[amount % hostIds.length]}`);
+	partitionOneWay(simulation, pick, amount) {
+		simulation.partitions.add(`${hostIds[pick % hostIds.length]}>${hostIds[amount % hostIds.length]}`);
 	},
 	heal(simulation) {
-		simulation.cuts.clear();
+		simulation.partitions.clear();
 	},
 	compact(simulation, pick) {
 		simulation.compact(hostAt(simulation, pick));
@@ -143,24 +143,24 @@
 };
 
 const weights: Record<string, number> = {
-	quiet: 6, stir: 10, pass: 3, sync: 4, deliver: 8, propose: 8, heal: 3, wake: 2, restart: 3, restartAll: 2, loseDisk: 1, handOver: 3,
+	runWithoutFaults: 6, reorder: 10, runWithoutDelivery: 3, sync: 4, deliver: 8, propose: 8, heal: 3, resume: 2, restart: 3, restartAll: 2, loseDisk: 1, transferLeadership: 3,
 };
-const names = Object.keys(acts).flatMap(name => Array.from({length: weights[name] ?? 1}, () => name));
+const names = Object.keys(faultSteps).flatMap(name => Array.from({length: weights[name] ?? 1}, () => name));
 const schedule = fc.array(fc.tuple(fc.constantFrom(...names), fc.nat(1000), fc.nat(1000)), {minLength: 60, maxLength: 160});
 
 const total = {accepted: 0, terms: 0, steps: 0};
 
-const play = (steps: ReadonlyArray<readonly [string, number, number]>): void => {
+const runSchedule = (steps: ReadonlyArray<readonly [string, number, number]>): void => {
 	const simulation = new Simulation(hostIds);
 	simulation.run(2000, true);
 	for (const [name, pick, amount] of steps) {
-		acts[name]!(simulation, pick, amount);
+		faultSteps[name]!(simulation, pick, amount);
 	}
 
-	// When all faults end, a change is accepted again and reaches every host.
-	acts.heal!(simulation, 0, 0);
-	acts.wake!(simulation, 0, 0);
-	acts.restartAll!(simulation, 0, 0);
+	// After all faults end, a change must be accepted again and reach every host.
+	faultSteps.heal!(simulation, 0, 0);
+	faultSteps.resume!(simulation, 0, 0);
+	faultSteps.restartAll!(simulation, 0, 0);
 	simulation.run(8000, true);
 	const leader = simulation.leader();
 	if (leader === undefined) {
@@ -172,7 +172,7 @@
 	simulation.run(8000, true);
 	const behind = simulation.hosts.filter(node => node.applied.length < before + 1).map(({id}) => id);
 	if (behind.length > 0) {
-		throw new Error(`${behind.join(', ')} did not get the change after all faults ended`);
+		throw new Error(`${behind.join(', ')} did not receive the change after all faults ended`);
 	}
 
 	total.accepted += simulation.accepted;
@@ -180,14 +180,15 @@
 	total.steps += steps.length;
 };
 
-// Control hosts crash with the loss of unsynced writes, restart with other
-// clocks, freeze, lose their disks and are replaced, are cut off one way or
-// both; leaders hand over; messages are lost, doubled and overtaken. Whatever the order: one
-// leader in a term, nothing committed is lost or changed, two never hold the
-// lease at once, who serves its copy holds what was committed an election
-// timeout ago; and when the faults end, changes are accepted everywhere again.
+// Control hosts crash and lose unsynced writes, restart with different clocks,
+// are suspended, lose their disks and are replaced, are partitioned in one or both
+// directions; leaders transfer the leadership; messages are lost, duplicated and
+// reordered. In any order: each term has at most one leader, no committed entry is
+// lost or changed, no two hosts hold the lease at once, a host that serves its
+// copy holds all entries committed an election timeout ago; and after the faults
+// end, changes are accepted and reach all hosts again.
 t.test(`random schedules, seed ${seed}, ${schedules} of them`, {timeout: 600_000}, async t => {
-	fc.assert(fc.property(schedule, play), {seed, numRuns: schedules, endOnFailure: Number(process.env.BITTERNPADDLE_SCHEDULES ?? 0) > 0});
+	fc.assert(fc.property(schedule, runSchedule), {seed, numRuns: schedules, endOnFailure: Number(process.env.BITTERNPADDLE_SCHEDULES ?? 0) > 0});
 	t.comment(`seed ${seed}: ${total.steps} steps, ${total.terms} terms with a leader, ${total.accepted} entries committed`);
 	t.ok(total.accepted > schedules * 5, 'the schedules commit entries');
 	t.ok(total.terms > schedules * 2, 'the schedules change leaders');
--- a/packages/coordination/test/consensus.test.ts
+++ b/packages/coordination/test/consensus.test.ts
@@ -63,7 +63,7 @@
 	.map(entry => entry.payload.type === 'command' ? entry.payload.command.commandId : null)
 	.filter(id => id !== null);
 
-t.test('one leader is elected and its changes reach all', async t => {
+t.test('elects one leader, whose changes reach all members', async t => {
 	const network = createNetwork();
 	run(network, 3000);
 	const [leader, ...others] = leaders(network);
@@ -75,26 +75,26 @@
 	}
 });
 
-// A leader is cut off and goes on believing that it leads. What the caller sees:
-// the old leader accepts nothing, the others elect a leader that does, and when
-// the cut ends the old leader's own entry is gone from every log. The lease ends
-// before the others may vote, so at no moment do two answer as leader.
-t.test('a leader that is cut off answers nothing, and its entry is replaced', async t => {
+// A leader is partitioned and still assumes that it leads. It must not accept
+// changes; the others elect a leader that does, and when the partition heals the
+// old leader's own entry is removed from every log. Its lease expires before the
+// others may vote, so there are never two leaders that answer.
+t.test('a partitioned leader does not answer, and its entry is replaced', async t => {
 	const network = createNetwork();
 	run(network, 3000);
-	const [old] = leaders(network);
-	network.cut.add(old!);
-	propose(network, old!, 'lost');
-	let most = 0;
+	const [oldLeader] = leaders(network);
+	network.cut.add(oldLeader!);
+	propose(network, oldLeader!, 'lost');
+	let maxLeaders = 0;
 	for (let step = 0; step < 200; step++) {
 		run(network, 25);
-		most = Math.max(most, leaders(network).length);
+		maxLeaders = Math.max(maxLeaders, leaders(network).length);
 	}
 
-	t.equal(most, 1, 'never two at once');
-	const [next] = leaders(network);
-	t.not(next, old);
-	propose(network, next!, 'kept');
+	t.equal(maxLeaders, 1, 'never two leaders at once');
+	const [newLeader] = leaders(network);
+	t.not(newLeader, oldLeader);
+	propose(network, newLeader!, 'kept');
 	run(network, 200);
 	network.cut.clear();
 	run(network, 2000);
--- a/packages/coordination/test/lost-disks.test.ts
+++ b/packages/coordination/test/lost-disks.test.ts
@@ -7,23 +7,23 @@
 const firstSeed = Number(process.env.BITTERNPADDLE_SEED ?? 20_261_203);
 const hostIds = ['a', 'b', 'c', 'd', 'e', 'f'];
 
-/** A host that is back counts as lost until it has had this time to catch up. */
+/** Time that a returning host needs to catch up; until then it counts as lost. */
 const catchUpMs = 6000;
-/** An operator's changes, as in a storm of them. */
+/** Interval between an operator's changes, as in a burst of them. */
 const changeEveryMs = 350;
 
 type Node = Simulation['hosts'][number];
 
 class Schedule {
 	readonly simulation: Simulation;
-	private newcomers = 0;
+	private addedHosts = 0;
 
 	constructor(private readonly random: Random, voterCount: number, hosts: readonly string[]) {
 		this.simulation = new Simulation(hosts, {voterCount});
 		this.simulation.run(8000, true);
 	}
 
-	/** Lets time pass while an operator sends one change after the other. */
+	/** Advances time while an operator proposes one change after the other. */
 	change(durationMs: number): void {
 		for (let passedMs = 0; passedMs < durationMs; passedMs += changeEveryMs) {
 			const leader = this.simulation.leader();
@@ -35,7 +35,7 @@
 		}
 	}
 
-	pick(count: number): Node[] {
+	pickNodes(count: number): Node[] {
 		const nodes = [...this.simulation.hosts];
 		const picked: Node[] = [];
 		while (picked.length < count) {
@@ -54,19 +54,19 @@
 		}
 	}
 
-	/** Two hosts lose power for seconds, one of them its disk. */
+	/** Two hosts lose power for several seconds, and one of them also its disk. */
 	loseTwo(): void {
-		const [kept, emptied] = this.pick(2);
-		for (const node of [kept!, emptied!]) {
+		const [intact, withLostDisk] = this.pickNodes(2);
+		for (const node of [intact!, withLostDisk!]) {
 			this.simulation.crash(node, this.random.between(0, 2));
 		}
 
 		this.change(this.random.between(500, 7000));
-		this.simulation.restart(kept!);
-		this.simulation.loseDisk(emptied!);
+		this.simulation.restart(intact!);
+		this.simulation.loseDisk(withLostDisk!);
 	}
 
-	/** The leader is gone for good, and an empty host comes at another address. */
+	/** The leader is removed permanently, and an empty host is added at another address. */
 	replaceLeader(): void {
 		const leader = this.simulation.leader();
 		if (leader === undefined) {
@@ -75,13 +75,13 @@
 
 		this.simulation.remove(leader);
 		this.change(2200);
-		this.newcomers++;
-		this.simulation.add(`new${this.newcomers}`);
+		this.addedHosts++;
+		this.simulation.add(`new${this.addedHosts}`);
 	}
 
-	/** Right after a change was accepted two hosts lose their disks, and all others lose power. */
+	/** Immediately after a change was accepted, two hosts lose their disks and all others lose power. */
 	loseDisksAndPower(): void {
-		const emptied = this.pick(2);
+		const withLostDisk = this.pickNodes(2);
 		const nodes = [...this.simulation.hosts];
 		for (const node of nodes) {
 			this.simulation.crash(node, 0);
@@ -90,7 +90,7 @@
 		this.simulation.packets = [];
 		this.simulation.run(1000, true);
 		for (const node of nodes) {
-			if (emptied.includes(node)) {
+			if (withLostDisk.includes(node)) {
 				this.simulation.loseDisk(node);
 			} else {
 				this.simulation.restart(node);
@@ -101,8 +101,8 @@
 
 const disturbances = ['restartInTurn', 'loseTwo', 'replaceLeader'] as const;
 
-/** Why the group did not come back as it should; `null` if it did. */
-const play = (seed: number, voterCount: number, hosts: readonly string[]): string | null => {
+/** Runs one schedule. Returns why the group did not recover, or `null` if it did. */
+const runSchedule = (seed: number, voterCount: number, hosts: readonly string[]): string | null => {
 	const random = createRandom(seed);
 	const schedule = new Schedule(random, voterCount, hosts);
 	const {simulation} = schedule;
@@ -121,7 +121,7 @@
 	simulation.run(4000, true);
 	const leader = simulation.leader();
 	if (leader === undefined) {
-		return 'nobody leads four seconds after all are back';
+		return 'no leader four seconds after all hosts are back';
 	}
 
 	const accepted = simulation.committed.length;
@@ -130,10 +130,10 @@
 	return simulation.committed.length > accepted ? null : 'the next change is not accepted';
 };
 
-const failuresOf = (voterCount: number, hosts: readonly string[]): string[] => {
+const collectFailures = (voterCount: number, hosts: readonly string[]): string[] => {
 	const failures: string[] = [];
 	for (let seed = firstSeed; seed < firstSeed + schedules; seed++) {
-		const failure = play(seed, voterCount, hosts);
+		const failure = runSchedule(seed, voterCount, hosts);
 		if (failure !== null) {
 			failures.push(`seed ${seed}: ${failure}`);
 		}
@@ -142,31 +142,31 @@
 	return failures;
 };
 
-// An operator's change is accepted; in the same moment two hosts lose their disks
-// and all others lose power. A second later all are back. Whoever asks then must
-// find the change in force, and the next one accepted: five voters have three left.
-t.test('two disks lost while all others lose power, after other losses', async t => {
-	t.same(failuresOf(5, hostIds), []);
+// An operator's change is accepted; at the same time two hosts lose their disks and
+// all others lose power. A second later all are back. The change must then be in
+// force, and the next one must be accepted: three of five voters remain.
+t.test('five voters survive the loss of two disks while all others lose power, after other losses', async t => {
+	t.same(collectFailures(5, hostIds), []);
 });
 
-// The same with no host that stands by: the hosts that lost their disks come back
-// as new members, and are taken in again before the next loss.
-t.test('two disks lost of five, and no host stands by', async t => {
-	t.same(failuresOf(5, hostIds.slice(0, 5)), []);
+// The same without a standby host: the hosts that lost their disks return as new
+// members and are added again before the next loss.
+t.test('five voters survive the loss of two disks without a standby host', async t => {
+	t.same(collectFailures(5, hostIds.slice(0, 5)), []);
 });
 
-// The same with a voter in each of three zones: where both disks were voters' disks,
-// the third voter can never be elected, and no change is accepted any more.
-t.test('three voters do not outlive the loss of two disks', async t => {
-	const failures = failuresOf(3, hostIds.slice(0, 3));
+// The same with a voter in each of three zones: if both lost disks belong to voters,
+// the third voter can never be elected, and no more changes are accepted.
+t.test('three voters do not survive the loss of two disks', async t => {
+	const failures = collectFailures(3, hostIds.slice(0, 3));
 	t.ok(failures.length > 0);
-	t.ok(failures.every(failure => failure.endsWith('nobody leads four seconds after all are back') || failure.endsWith('nothing was accepted before the last fault')));
+	t.ok(failures.every(failure => failure.endsWith('no leader four seconds after all hosts are back') || failure.endsWith('nothing was accepted before the last fault')));
 });
 
-// A control host without a disk follows the log. It is closer to all entries than
-// the next disk, and a voter is lost: were it made a voter, its next restart would
-// forget what it was counted for.
-t.test('a host without a disk never votes', async t => {
+// A control host without a disk replicates the log and is the only learner when a
+// voter is lost. If it were promoted to voter, its next restart would lose the
+// entries that it was counted for.
+t.test('a host without a disk never becomes a voter', async t => {
 	const simulation = new Simulation(['a', 'b', 'c', 'm'], {hostsWithoutDisk: ['m']});
 	simulation.run(4000, true);
 	const lost = simulation.hosts.find(node => node !== simulation.leader() && hostOfMember(node.id) !== 'm');
@@ -174,5 +174,5 @@
 	simulation.run(8000, true);
 	const {voters, learners} = simulation.leader()!.state.members;
 	t.notOk(voters.some(voter => hostOfMember(voter) === 'm'));
-	t.same(learners.map(learner => hostOfMember(learner)), ['m'], 'it is kept up to date');
+	t.same(learners.map(learner => hostOfMember(learner)), ['m'], 'it stays a learner');
 });
--- a/packages/coordination/test/simulation.ts
+++ b/packages/coordination/test/simulation.ts
@@ -10,15 +10,15 @@
 type Disk = {hardState: HardState; snapshot: Snapshot | null; entries: LogEntry[]};
 type Unsynced = Extract<ConsensusEffect, {type: 'persist' | 'installSnapshot' | 'send'}>;
 
-/** One start of one host; its clock begins anew with each. */
+/** One start of one host; its clock is reset with each start. */
 type Node = {
 	readonly id: string;
 	disk: Disk;
 	state: ConsensusState;
 	clockOffsetMs: number;
 	isUp: boolean;
-	isFrozen: boolean;
-	/** What waits for the next sync, in order. */
+	isSuspended: boolean;
+	/** Writes and messages that wait for the next sync, in order. */
 	unsynced: Unsynced[];
 	/** Names of the applied entries; the state that a snapshot holds. */
 	applied: string[];
@@ -35,25 +35,25 @@
 
 const emptyDisk = (): Disk => ({hardState: {term: 0, votedFor: null}, snapshot: null, entries: []});
 const nameOf = (entry: LogEntry): string => `${entry.term}:${JSON.stringify(entry.payload)}`;
-const firstVoterCount = 3;
+const initialVoterCount = 3;
 const replaceAfterMs = 3000;
 
 export type SimulationOptions = {
-	/** Voters that the leader aims at; there are three at first. @default 3 */
+	/** Target number of voters; there are three initially. @default 3 */
 	readonly voterCount?: number;
 	/** @default none */
 	readonly hostsWithoutDisk?: readonly string[];
 };
 
-/** Control hosts over a network and disks that fail as the schedule says. Checks what must hold after each step. */
+/** Simulates control hosts with a network and disks that fail according to the schedule. Checks the invariants after each step. */
 export class Simulation {
 	nowMs = 1000;
 	packets: Packet[] = [];
 	readonly nodes = new Map<string, Node>();
-	/** By index, as first reported by anyone. */
+	/** Committed entries by index, as first reported by any host. */
 	readonly committed: string[] = [];
 	leadersByTerm = new Map<number, string>();
-	cuts = new Set<string>();
+	partitions = new Set<string>();
 	accepted = 0;
 	private starts = 0;
 	private proposals = 0;
@@ -65,7 +65,7 @@
 	constructor(hostIds: readonly string[], {voterCount = 3, hostsWithoutDisk = []}: SimulationOptions = {}) {
 		this.voterCount = voterCount;
 		const ids = hostIds.map(hostId => hostsWithoutDisk.includes(hostId) ? memberIdWithoutDisk(hostId, '0') : memberIdOf(hostId, '0'));
-		this.initialMembers = {voters: ids.slice(0, firstVoterCount), learners: []};
+		this.initialMembers = {voters: ids.slice(0, initialVoterCount), learners: []};
 		for (const id of ids) {
 			this.start(id, emptyDisk());
 		}
@@ -83,7 +83,7 @@
 		this.starts++;
 		const clockOffsetMs = (100_000 * (this.starts % 5)) - this.nowMs;
 		const node: Node = {
-			id, disk, clockOffsetMs, isUp: true, isFrozen: false, unsynced: [], applied: JSON.parse(disk.snapshot?.state ?? '[]') as string[],
+			id, disk, clockOffsetMs, isUp: true, isSuspended: false, unsynced: [], applied: JSON.parse(disk.snapshot?.state ?? '[]') as string[],
 			wasLeader: false, leadingSinceMs: 0, standbys: new Map(),
 			state: createConsensus({
 				selfId: id, initialMembers: this.initialMembers.voters.includes(id) ? this.initialMembers : {voters: [], learners: []},
@@ -95,7 +95,7 @@
 	}
 
 	dispatch(node: Node, event: ConsensusEvent): void {
-		if (!node.isUp || node.isFrozen) {
+		if (!node.isUp || node.isSuspended) {
 			return;
 		}
 
@@ -112,9 +112,9 @@
 		this.check();
 	}
 
-	/** Writes and syncs what waits; then what had to wait for the sync leaves. */
+	/** Performs and syncs the pending writes, then sends the messages that waited for the sync. */
 	sync(node: Node): void {
-		if (!node.isUp || node.isFrozen) {
+		if (!node.isUp || node.isSuspended) {
 			return;
 		}
 
@@ -135,7 +135,7 @@
 		}
 	}
 
-	/** Loses power: of the unsynced writes the first few may be on disk, and nothing that waited has left. */
+	/** Simulates a power loss: the first `writtenTasks` unsynced writes are on disk, and no waiting message was sent. */
 	crash(node: Node, writtenTasks: number): void {
 		if (!node.isUp) {
 			return;
@@ -157,19 +157,19 @@
 		}
 	}
 
-	/** The host comes back with an empty disk: as another member, which knows no voters. */
+	/** Restarts the host with an empty disk, as a different member that knows no voters. */
 	loseDisk(node: Node): void {
 		this.nodes.delete(node.id);
 		this.disks++;
 		this.start(memberIdOf(hostOfMember(node.id), String(this.disks)), emptyDisk());
 	}
 
-	/** The host is gone for good. */
+	/** Removes the host permanently. */
 	remove(node: Node): void {
 		this.nodes.delete(node.id);
 	}
 
-	/** A host that was added later, with an empty disk. */
+	/** Adds a host with an empty disk. */
 	add(hostId: string): void {
 		this.start(memberIdOf(hostId, '0'), emptyDisk());
 	}
@@ -182,7 +182,7 @@
 
 	compact(node: Node): void {
 		const {state} = node;
-		if (!node.isUp || node.isFrozen || state.commitIndex === (state.snapshot?.index ?? 0)) {
+		if (!node.isUp || node.isSuspended || state.commitIndex === (state.snapshot?.index ?? 0)) {
 			return;
 		}
 
@@ -198,13 +198,13 @@
 
 	deliver(packet: Packet): void {
 		const node = this.nodes.get(packet.to);
-		if (node !== undefined && !this.cuts.has(`${hostOfMember(packet.from)}>${hostOfMember(packet.to)}`)) {
+		if (node !== undefined && !this.partitions.has(`${hostOfMember(packet.from)}>${hostOfMember(packet.to)}`)) {
 			this.dispatch(node, {type: 'message', from: packet.from, message: packet.message});
 		}
 	}
 
-	/** Lets time pass in small steps; `isQuick` also syncs and delivers everything at each. */
-	run(durationMs: number, isQuick: boolean): void {
+	/** Advances time in small steps; `deliversAll` also syncs and delivers everything at each step. */
+	run(durationMs: number, deliversAll: boolean): void {
 		for (let passedMs = 0; passedMs < durationMs; passedMs += 50) {
 			this.nowMs += 50;
 			for (const node of this.hosts) {
@@ -212,20 +212,20 @@
 				this.planMembers(node);
 			}
 
-			if (isQuick) {
-				this.settle();
+			if (deliversAll) {
+				this.deliverAll();
 			}
 		}
 	}
 
-	settle(): void {
+	deliverAll(): void {
 		for (let round = 0; round < 4; round++) {
 			for (const node of this.hosts) {
 				this.sync(node);
 			}
 
-			const packets = this.packets.filter(({to}) => !this.nodes.get(to)?.isFrozen);
-			this.packets = this.packets.filter(({to}) => this.nodes.get(to)?.isFrozen).slice(0, 20);
+			const packets = this.packets.filter(({to}) => !this.nodes.get(to)?.isSuspended);
+			this.packets = this.packets.filter(({to}) => this.nodes.get(to)?.isSuspended).slice(0, 20);
 			for (const packet of packets) {
 				this.deliver(packet);
 			}
@@ -237,14 +237,14 @@
 	}
 
 	private planMembers(node: Node): void {
-		if (node.state.role !== 'leader' || !node.isUp || node.isFrozen) {
+		if (node.state.role !== 'leader' || !node.isUp || node.isSuspended) {
 			return;
 		}
 
 		const nowMs = this.clock(node);
 		for (const other of this.hosts) {
-			const isCut = this.cuts.has(`${hostOfMember(other.id)}>${hostOfMember(node.id)}`);
-			if (other.isUp && !other.isFrozen && !isCut && other.state.leaderId === null) {
+			const isCut = this.partitions.has(`${hostOfMember(other.id)}>${hostOfMember(node.id)}`);
+			if (other.isUp && !other.isSuspended && !isCut && other.state.leaderId === null) {
 				node.standbys.set(other.id, nowMs);
 			}
 		}
@@ -304,11 +304,11 @@
 		this.assertPrefix(node);
 	}
 
-	/** State machine safety, and no committed entry lost or changed. */
+	/** Checks state machine safety: no committed entry is lost or changed. */
 	private assertPrefix(node: Node): void {
-		const differs = node.applied.findIndex((name, position) => name !== this.committed[position]);
-		if (differs !== -1) {
-			throw new BrokenInvariantError(`${node.id} applied ${node.applied[differs]} at ${differs + 1}, committed was ${this.committed[differs]}`);
+		const differingPosition = node.applied.findIndex((name, position) => name !== this.committed[position]);
+		if (differingPosition !== -1) {
+			throw new BrokenInvariantError(`${node.id} applied ${node.applied[differingPosition]} at ${differingPosition + 1}, committed was ${this.committed[differingPosition]}`);
 		}
 	}
 
