--- a/packages/coordination/src/swarm/announcements.ts
+++ b/packages/coordination/src/swarm/announcements.ts
@@ -1,12 +1,12 @@
 import type {Neighbour, SwarmEffect, SwarmState} from './types.js';
 
-/** A chunk that no more neighbours than this have is announced at once: it feeds others before it is common. */
-const rareHolders = 1;
-/** Common chunks are gathered for this many usual fetches: a neighbour has others to fetch meanwhile. */
-const gatherFactor = 1;
-const maxGatherMs = 1000;
+/** A chunk held by at most this many neighbours is announced immediately, so that it spreads while it is rare. */
+const maxRareHolders = 1;
+/** Announcements of common chunks are batched for this many typical fetch times; neighbours have other chunks to fetch meanwhile. */
+const batchDelayFactor = 1;
+const maxBatchDelayMs = 1000;
 
-/** Makes a stored chunk known to the neighbours that lack it: a rare one now, a common one with others. */
+/** Announces a stored chunk to the neighbours that lack it: a rare one immediately, a common one in a batch. */
 export const announceStored = (state: SwarmState, chunk: number, nowMs: number): SwarmEffect[] => {
 	for (const neighbour of state.neighbours.values()) {
 		if (neighbour.have[chunk] === 0) {
@@ -14,28 +14,28 @@
 		}
 	}
 
-	const isUrgent = state.picker.holders[chunk]! <= rareHolders || state.held.size === state.options.totalChunks;
+	const isUrgent = state.picker.holderCounts[chunk]! <= maxRareHolders || state.held.size === state.options.totalChunks;
 	if (isUrgent) {
-		return announceGathered(state);
+		return announceBatched(state);
 	}
 
-	state.announceAtMs ??= nowMs + Math.min(maxGatherMs, gatherFactor * state.typicalFetchMs);
+	state.announceAtMs ??= nowMs + Math.min(maxBatchDelayMs, batchDelayFactor * state.typicalFetchMs);
 	return [];
 };
 
-/** Announces what was gathered once its time has come. */
+/** Announces the batched chunks once their delay is over. */
 export const announceDue = (state: SwarmState, nowMs: number): SwarmEffect[] => state.announceAtMs !== null && nowMs >= state.announceAtMs
-	? announceGathered(state)
+	? announceBatched(state)
 	: [];
 
-/** What a neighbour has got from elsewhere meanwhile is news to it no more. */
+/** Clears the neighbour's batch and returns it without chunks that the neighbour has received from elsewhere meanwhile. */
 const takeUnannounced = (neighbour: Neighbour): number[] => {
 	const chunks = neighbour.unannounced.filter(chunk => neighbour.have[chunk] === 0);
 	neighbour.unannounced = [];
 	return chunks;
 };
 
-const announceGathered = (state: SwarmState): SwarmEffect[] => {
+const announceBatched = (state: SwarmState): SwarmEffect[] => {
 	state.announceAtMs = null;
 	const effects = new Map<string, {type: 'announce'; to: string[]; chunks: number[]; isGreeting: boolean}>();
 	for (const neighbour of state.neighbours.values()) {
@@ -45,13 +45,13 @@
 		}
 
 		const key = chunks.join(',');
-		const same = effects.get(key);
-		if (same === undefined) {
+		const existing = effects.get(key);
+		if (existing === undefined) {
 			effects.set(key, {
 				type: 'announce', to: [neighbour.hostId], chunks, isGreeting: false,
 			});
 		} else {
-			same.to.push(neighbour.hostId);
+			existing.to.push(neighbour.hostId);
 		}
 	}
 
--- a/packages/coordination/src/swarm/chunk-picker.ts
+++ b/packages/coordination/src/swarm/chunk-picker.ts
@@ -1,81 +1,81 @@
 import type {Random} from '../utils/random.js';
 
 /**
- * The chunks that this host wants and a neighbour has, in buckets by how many
- * neighbours have them. Every update and a pick take constant time, so a
- * manifest of 100,000 chunks costs as much for each as one of 100.
+ * The chunks that this host wants and at least one neighbour has, in buckets by
+ * the number of neighbours that have them. Updates and picks take constant
+ * time, so they cost the same for a manifest of 100,000 chunks as for one of 100.
  */
 export type ChunkPicker = {
-	/** Neighbours that have the chunk. */
-	readonly holders: Uint16Array;
-	/** 1 while the chunk is neither held nor being fetched. */
+	/** Number of neighbours that have each chunk. */
+	readonly holderCounts: Uint16Array;
+	/** 1 for each chunk that is neither held nor being fetched. */
 	readonly wanted: Uint8Array;
-	/** Place of the chunk in its bucket; -1 outside. */
-	readonly places: Int32Array;
-	/** `buckets[n]`: wanted chunks that n neighbours have; n is 1 or more. */
+	/** Position of each chunk in its bucket; -1 if it is in none. */
+	readonly positions: Int32Array;
+	/** `buckets[n]` contains the wanted chunks that n neighbours have, for n of at least 1. */
 	readonly buckets: number[][];
 };
 
-/** Chunks tried in each bucket before the next one. */
+/** Maximum number of chunks tried in each bucket before the next one. */
 const triesPerBucket = 12;
 
 export const createChunkPicker = (totalChunks: number): ChunkPicker => ({
-	holders: new Uint16Array(totalChunks),
+	holderCounts: new Uint16Array(totalChunks),
 	wanted: new Uint8Array(totalChunks).fill(1),
-	places: new Int32Array(totalChunks).fill(-1),
+	positions: new Int32Array(totalChunks).fill(-1),
 	buckets: [],
 });
 
-const enter = (picker: ChunkPicker, chunk: number): void => {
-	const holders = picker.holders[chunk]!;
-	if (picker.wanted[chunk] === 0 || holders === 0) {
+const addToBucket = (picker: ChunkPicker, chunk: number): void => {
+	const holderCount = picker.holderCounts[chunk]!;
+	if (picker.wanted[chunk] === 0 || holderCount === 0) {
 		return;
 	}
 
-	while (picker.buckets.length <= holders) {
+	while (picker.buckets.length <= holderCount) {
 		picker.buckets.push([]);
 	}
 
-	const bucket = picker.buckets[holders]!;
-	picker.places[chunk] = bucket.length;
+	const bucket = picker.buckets[holderCount]!;
+	picker.positions[chunk] = bucket.length;
 	bucket.push(chunk);
 };
 
-const leave = (picker: ChunkPicker, chunk: number): void => {
-	const place = picker.places[chunk]!;
-	if (place === -1) {
+const removeFromBucket = (picker: ChunkPicker, chunk: number): void => {
+	const position = picker.positions[chunk]!;
+	if (position === -1) {
 		return;
 	}
 
-	const bucket = picker.buckets[picker.holders[chunk]!]!;
+	const bucket = picker.buckets[picker.holderCounts[chunk]!]!;
 	const last = bucket.pop()!;
 	if (last !== chunk) {
-		bucket[place] = last;
-		picker.places[last] = place;
+		bucket[position] = last;
+		picker.positions[last] = position;
 	}
 
-	picker.places[chunk] = -1;
+	picker.positions[chunk] = -1;
 };
 
 export const addHolder = (picker: ChunkPicker, chunk: number): void => {
-	leave(picker, chunk);
-	picker.holders[chunk]!++;
-	enter(picker, chunk);
+	removeFromBucket(picker, chunk);
+	picker.holderCounts[chunk]!++;
+	addToBucket(picker, chunk);
 };
 
 export const removeHolder = (picker: ChunkPicker, chunk: number): void => {
-	leave(picker, chunk);
-	picker.holders[chunk]!--;
-	enter(picker, chunk);
+	removeFromBucket(picker, chunk);
+	picker.holderCounts[chunk]!--;
+	addToBucket(picker, chunk);
 };
 
 export const setWanted = (picker: ChunkPicker, chunk: number, isWanted: boolean): void => {
-	leave(picker, chunk);
+	removeFromBucket(picker, chunk);
 	picker.wanted[chunk] = isWanted ? 1 : 0;
-	enter(picker, chunk);
+	addToBucket(picker, chunk);
 };
 
-/** The rarest wanted chunk for which `choose` finds a source; ties at random. */
+/** Picks the rarest wanted chunk for which `choose` finds a source; ties are broken at random. */
 export const pickChunk = <Source>(picker: ChunkPicker, random: Random, choose: (chunk: number) => Source | null): {chunk: number; source: Source} | null => {
 	for (const bucket of picker.buckets) {
 		if (bucket.length === 0) {
--- a/packages/coordination/src/swarm/exchange.ts
+++ b/packages/coordination/src/swarm/exchange.ts
@@ -1,59 +1,59 @@
 import {addHolder, removeHolder} from './chunk-picker.js';
 import {chooseNeighbours} from './neighbours.js';
-import {noteHolder} from './zone-imports.js';
-import {noteLost, noteSeen, reclaim} from './origin-tickets.js';
+import {recordHolder} from './zone-imports.js';
+import {recordLost, recordSeen, requeueOwned} from './origin-tickets.js';
 import type {
 	FailureReason, Neighbour, SwarmEffect, SwarmEvent, SwarmState,
 } from './types.js';
 
-/** A neighbour that failed this often in a row gives its place to another. */
+/** A neighbour is replaced after this many consecutive failures. */
 const replaceAfterFailures = 4;
-const restMs = 200;
-const maxRestMs = 10_000;
-/** A neighbour that was replaced is not taken back before this time. */
-const avoidMs = 30_000;
+const backoffMs = 200;
+const maxBackoffMs = 10_000;
+/** A replaced neighbour is excluded for this long. */
+const exclusionMs = 30_000;
 const defaultBusyMs = 50;
-/** A busy neighbour is asked again after this share of a usual fetch; sooner costs messages and gains nothing. */
-const busyRestFactor = 0.5;
+/** Minimum backoff of a busy neighbour as a share of the typical fetch time; retrying sooner costs messages without benefit. */
+const busyBackoffFactor = 0.5;
 
 const addNeighbour = (state: SwarmState, hostId: string, isChosen: boolean): Neighbour => {
 	const neighbour: Neighbour = {
-		hostId, have: new Uint8Array(state.options.totalChunks), unannounced: [], isChosen, isHeard: false, outstanding: 0, restUntilMs: 0, failures: 0,
+		hostId, have: new Uint8Array(state.options.totalChunks), unannounced: [], isChosen, hasAnnounced: false, outstanding: 0, backoffUntilMs: 0, failures: 0,
 	};
 	state.neighbours.set(hostId, neighbour);
 	return neighbour;
 };
 
-const loseHolder = (state: SwarmState, chunk: number): void => {
+const forgetHolder = (state: SwarmState, chunk: number): void => {
 	removeHolder(state.picker, chunk);
-	if (state.picker.holders[chunk] === 0 && !state.held.has(chunk)) {
-		noteLost(state.tickets, chunk);
+	if (state.picker.holderCounts[chunk] === 0 && !state.held.has(chunk)) {
+		recordLost(state.tickets, chunk);
 	}
 };
 
 const dropNeighbour = (state: SwarmState, neighbour: Neighbour): void => {
 	for (const [chunk, has] of neighbour.have.entries()) {
 		if (has === 1) {
-			loseHolder(state, chunk);
+			forgetHolder(state, chunk);
 		}
 	}
 
 	state.neighbours.delete(neighbour.hostId);
 };
 
-const isLeftOut = ({setAside, avoidedUntilMs}: SwarmState, hostId: string, nowMs: number): boolean => setAside.has(hostId)
-	|| (avoidedUntilMs.get(hostId) ?? 0) > nowMs;
+const isExcluded = ({ejected, excludedUntilMs}: SwarmState, hostId: string, nowMs: number): boolean => ejected.has(hostId)
+	|| (excludedUntilMs.get(hostId) ?? 0) > nowMs;
 
-/** Chooses neighbours anew among the living and greets those that are new. */
+/** Selects the neighbours among the current peers again and greets the new ones. */
 export const greetNewNeighbours = (state: SwarmState, nowMs: number): SwarmEffect[] => {
 	const {self, manifestId, maxNeighbours} = state.options;
 	for (const neighbour of state.neighbours.values()) {
-		if (!state.peers.has(neighbour.hostId) || isLeftOut(state, neighbour.hostId, nowMs)) {
+		if (!state.peers.has(neighbour.hostId) || isExcluded(state, neighbour.hostId, nowMs)) {
 			dropNeighbour(state, neighbour);
 		}
 	}
 
-	const usable = [...state.peers.values()].filter(({hostId}) => !isLeftOut(state, hostId, nowMs));
+	const usable = [...state.peers.values()].filter(({hostId}) => !isExcluded(state, hostId, nowMs));
 	const chosen = new Set(chooseNeighbours({
 		self, manifestId, peers: usable, count: maxNeighbours,
 	}));
@@ -76,40 +76,40 @@
 		}];
 };
 
-type PeerHas = Extract<SwarmEvent, {type: 'peerHas'}>;
+type PeerHasEvent = Extract<SwarmEvent, {type: 'peerHas'}>;
 
-/** A peer told what it has; one that this host did not choose becomes a neighbour while there is room. */
-export const hearPeer = (state: SwarmState, {hostId, chunks, isGreeting}: PeerHas, nowMs: number): SwarmEffect[] => {
+/** Records a peer's announcement of its chunks. A peer that this host did not choose becomes a neighbour while there is spare capacity. */
+export const recordAnnouncement = (state: SwarmState, {hostId, chunks, isGreeting}: PeerHasEvent, nowMs: number): SwarmEffect[] => {
 	if (isGreeting) {
-		// It was frozen or cut off, and is not any more: it may have drawn what nobody else has.
-		state.avoidedUntilMs.delete(hostId);
+		// The peer has recovered from a suspension or partition, and may hold chunks from the origin that no other host has.
+		state.excludedUntilMs.delete(hostId);
 	}
 
-	if (!state.peers.has(hostId) || isLeftOut(state, hostId, nowMs)) {
+	if (!state.peers.has(hostId) || isExcluded(state, hostId, nowMs)) {
 		return [];
 	}
 
-	const known = state.neighbours.get(hostId);
-	if (known === undefined && state.neighbours.size >= 2 * state.options.maxNeighbours) {
+	const existing = state.neighbours.get(hostId);
+	if (existing === undefined && state.neighbours.size >= 2 * state.options.maxNeighbours) {
 		return [];
 	}
 
-	const neighbour = known ?? addNeighbour(state, hostId, false);
-	neighbour.isHeard = true;
+	const neighbour = existing ?? addNeighbour(state, hostId, false);
+	neighbour.hasAnnounced = true;
 	if (isGreeting) {
-		restart(state, neighbour, chunks);
+		resetNeighbour(state, neighbour, chunks);
 	}
 
 	for (const chunk of chunks) {
 		if (neighbour.have[chunk] === 0) {
 			neighbour.have[chunk] = 1;
 			addHolder(state.picker, chunk);
-			noteHolder(state.imports, chunk, nowMs);
-			noteSeen(state.tickets, chunk, nowMs);
+			recordHolder(state.imports, chunk, nowMs);
+			recordSeen(state.tickets, chunk, nowMs);
 		}
 	}
 
-	if (known !== undefined && !isGreeting) {
+	if (existing !== undefined && !isGreeting) {
 		return [];
 	}
 
@@ -120,17 +120,17 @@
 };
 
 /**
- * A neighbour whose agent was restarted may have lost chunks that it announced
- * before, and knows nothing of what this host has.
+ * Resets a neighbour whose agent has restarted: it may have lost chunks that it
+ * announced before, and does not know what this host has.
  */
-const restart = (state: SwarmState, neighbour: Neighbour, chunks: readonly number[]): void => {
-	const kept = new Set(chunks);
+const resetNeighbour = (state: SwarmState, neighbour: Neighbour, chunks: readonly number[]): void => {
+	const stillHeld = new Set(chunks);
 	neighbour.failures = 0;
-	neighbour.restUntilMs = 0;
+	neighbour.backoffUntilMs = 0;
 	for (const [chunk, has] of neighbour.have.entries()) {
-		if (has === 1 && !kept.has(chunk)) {
+		if (has === 1 && !stillHeld.has(chunk)) {
 			neighbour.have[chunk] = 0;
-			loseHolder(state, chunk);
+			forgetHolder(state, chunk);
 		}
 	}
 };
@@ -143,7 +143,7 @@
 	readonly nowMs: number;
 };
 
-/** Lets a failing neighbour rest, replaces it, or puts it aside for good. */
+/** Handles a failed fetch from a neighbour: applies a backoff, replaces the neighbour or ejects it permanently. */
 export const onPeerFailure = (state: SwarmState, {chunk, hostId, reason, retryAfterMs, nowMs}: PeerFailure): SwarmEffect[] => {
 	const neighbour = state.neighbours.get(hostId);
 	if (neighbour === undefined) {
@@ -151,19 +151,19 @@
 	}
 
 	if (reason === 'busy') {
-		neighbour.restUntilMs = nowMs + Math.max(retryAfterMs ?? defaultBusyMs, busyRestFactor * state.typicalFetchMs);
+		neighbour.backoffUntilMs = nowMs + Math.max(retryAfterMs ?? defaultBusyMs, busyBackoffFactor * state.typicalFetchMs);
 		return [];
 	}
 
 	neighbour.failures++;
-	neighbour.restUntilMs = nowMs + Math.min(maxRestMs, restMs * (2 ** neighbour.failures));
+	neighbour.backoffUntilMs = nowMs + Math.min(maxBackoffMs, backoffMs * (2 ** neighbour.failures));
 	if (reason === 'missing' && neighbour.have[chunk] === 1) {
 		neighbour.have[chunk] = 0;
-		loseHolder(state, chunk);
+		forgetHolder(state, chunk);
 	}
 
 	if (neighbour.failures === 1) {
-		reclaimDoubtful(state, neighbour);
+		requeueUnconfirmed(state, neighbour);
 	}
 
 	if (reason === 'corrupt' || reason === 'missing') {
@@ -174,24 +174,24 @@
 		return [];
 	}
 
-	state.avoidedUntilMs.set(hostId, nowMs + avoidMs);
+	state.excludedUntilMs.set(hostId, nowMs + exclusionMs);
 	return greetNewNeighbours(state, nowMs);
 };
 
 /**
- * A peer that announces everything and delivers nothing would keep the owners
- * of those chunks from the origin. From its first failure on its word alone
- * does not count.
+ * A peer that announces all chunks but delivers none would prevent the owners of
+ * those chunks from fetching them from the origin. After its first failure, its
+ * announcements alone do not count.
  */
-const reclaimDoubtful = (state: SwarmState, neighbour: Neighbour): void => {
+const requeueUnconfirmed = (state: SwarmState, neighbour: Neighbour): void => {
 	for (const [chunk, has] of neighbour.have.entries()) {
 		if (has === 1 && !isAvailable(state, chunk)) {
-			reclaim(state.tickets, chunk);
+			requeueOwned(state.tickets, chunk);
 		}
 	}
 };
 
-/** Whether a neighbour has the chunk that did not fail when last asked. */
+/** Whether the chunk is available from a neighbour whose last fetch did not fail. */
 export const isAvailable = ({neighbours}: SwarmState, chunk: number): boolean => {
 	for (const {have, failures} of neighbours.values()) {
 		if (have[chunk] === 1 && failures === 0) {
@@ -203,16 +203,16 @@
 };
 
 /**
- * Bad memory or a lie shows as wrong bytes again and again. Each such chunk
- * costs a whole transfer, so after a few the peer is not asked any more.
+ * Faulty memory or false announcements cause repeated corrupt or missing chunks.
+ * A corrupt chunk costs a complete transfer, so after a few of them the peer is ejected.
  */
 const countBadChunk = (state: SwarmState, hostId: string, nowMs: number): SwarmEffect[] => {
-	const bad = (state.badChunks.get(hostId) ?? 0) + 1;
-	state.badChunks.set(hostId, bad);
-	if (bad < state.options.maxBadChunks) {
+	const badCount = (state.badChunks.get(hostId) ?? 0) + 1;
+	state.badChunks.set(hostId, badCount);
+	if (badCount < state.options.maxBadChunks) {
 		return [];
 	}
 
-	state.setAside.add(hostId);
+	state.ejected.add(hostId);
 	return [{type: 'setAside', hostId}, ...greetNewNeighbours(state, nowMs)];
 };
--- a/packages/coordination/src/swarm/link-budget.ts
+++ b/packages/coordination/src/swarm/link-budget.ts
@@ -1,19 +1,19 @@
 /**
- * What transfers may use of one direction of this host's link. Live requests
- * share that link and this process: when they suffer, the budget shrinks at
- * once and grows back slowly.
+ * Bandwidth budget of transfers for one direction of this host's link. Live
+ * requests share that link and this process: when they slow down, the budget
+ * is reduced at once, and then increased again slowly.
  */
 export type LinkBudget = {
-	/** Null: not limited. */
+	/** `null` if unlimited. */
 	readonly bytesPerSecond: number | null;
-	/** Share of the rate that transfers may use now, up to 1. */
+	/** Share of the rate that transfers may currently use, at most 1. */
 	share: number;
 	freeAtMs: number;
 };
 
-/** How the door's requests fare. */
-export type DoorStrain = {
-	/** How late the loop runs that answers callers. */
+/** Load of the request gate. */
+export type RequestGateLoad = {
+	/** Delay of the event loop that serves requests. */
 	readonly lagMs: number;
 	readonly running: number;
 	readonly capacity: number;
@@ -23,12 +23,12 @@
 const shrinkFactor = 0.7;
 const growStep = 0.05;
 const lagLimitMs = 20;
-/** Above this occupancy new requests soon wait. */
+/** Above this occupancy, new requests would soon have to wait. */
 const occupancyLimit = 0.9;
 
 export const createLinkBudget = (bytesPerSecond: number | null): LinkBudget => ({bytesPerSecond, share: 1, freeAtMs: 0});
 
-/** Takes `sizeBytes` from the budget; the bytes may pass after the wait that it returns. */
+/** Reserves `sizeBytes` of the budget and returns the time in ms to wait before the bytes may be transferred. */
 export const takeFromBudget = (budget: LinkBudget, sizeBytes: number, nowMs: number): number => {
 	if (budget.bytesPerSecond === null) {
 		return 0;
@@ -39,7 +39,7 @@
 	return budget.freeAtMs - nowMs;
 };
 
-export const adjustBudget = (budget: LinkBudget, {lagMs, running, capacity}: DoorStrain): void => {
+export const adjustBudget = (budget: LinkBudget, {lagMs, running, capacity}: RequestGateLoad): void => {
 	const isStrained = lagMs > lagLimitMs || running >= capacity * occupancyLimit;
 	budget.share = isStrained ? Math.max(minShare, budget.share * shrinkFactor) : Math.min(1, budget.share + growStep);
 };
--- a/packages/coordination/src/swarm/link-strain.ts
+++ b/packages/coordination/src/swarm/link-strain.ts
@@ -1,48 +1,49 @@
 /**
- * Tells a narrowed link of this host from a slow source. A host whose link has
- * narrowed to a fifth and goes on exchanging chunks fills it: its engine's events
- * reach callers a second late, and the ends of connections half a second.
+ * Distinguishes reduced bandwidth of this host's own link from a slow source. If
+ * a host whose bandwidth has dropped to a fifth continues to exchange chunks, it
+ * saturates the link: its engine's events reach callers a second late, and
+ * connection closes half a second late.
  */
 export type LinkStrain = {
-	/** Sources of the last slow fetches, until one was quick. */
+	/** Sources of the slow fetches since the last fast one. */
 	readonly slowSources: Set<string>;
-	restUntilMs: number;
-	/** Rests in a row. */
-	rests: number;
+	backoffUntilMs: number;
+	/** Number of consecutive backoffs. */
+	consecutiveBackoffs: number;
 };
 
-/** Slow fetches from this many sources in a row are the host's own link. */
-const sourcesToRest = 2;
-/** Between two looks at a link that was narrow; each look fills it for a second. */
-const firstRestMs = 1500;
-const longestRestMs = 6000;
+/** Consecutive slow fetches from this many sources indicate that the host's own link is slow. */
+const slowSourceThreshold = 2;
+/** Time between two checks of a slow link; each check saturates it for a second. */
+const initialBackoffMs = 1500;
+const maxBackoffMs = 6000;
 
-export const createLinkStrain = (): LinkStrain => ({slowSources: new Set(), restUntilMs: 0, rests: 0});
+export const createLinkStrain = (): LinkStrain => ({slowSources: new Set(), backoffUntilMs: 0, consecutiveBackoffs: 0});
 
-/** `isSlow`: the fetch took several times what the link should need for all that is fetched at once. `true` if the host begins to rest. */
+/** Records a fetch. `isSlow`: it took several times as long as the link should need for all concurrent fetches. Returns `true` if the host starts a backoff. */
 export const noteFetch = (strain: LinkStrain, source: string, isSlow: boolean, nowMs: number): boolean => {
 	if (!isSlow) {
 		strain.slowSources.clear();
-		strain.rests = 0;
+		strain.consecutiveBackoffs = 0;
 		return false;
 	}
 
 	strain.slowSources.add(source);
-	if (strain.slowSources.size < sourcesToRest) {
+	if (strain.slowSources.size < slowSourceThreshold) {
 		return false;
 	}
 
-	strain.restUntilMs = nowMs + Math.min(longestRestMs, firstRestMs * (2 ** strain.rests));
-	strain.rests++;
+	strain.backoffUntilMs = nowMs + Math.min(maxBackoffMs, initialBackoffMs * (2 ** strain.consecutiveBackoffs));
+	strain.consecutiveBackoffs++;
 	strain.slowSources.clear();
 	return true;
 };
 
-/** How long a link counts as strained behind a rest: it is looked at again within this. */
-const lastingMs = 3000;
+/** How long a link still counts as strained after a backoff; it is checked again within this time. */
+const strainTimeoutMs = 3000;
 
-/** Whether the link was too narrow lately. */
-export const isStrained = ({restUntilMs, rests}: LinkStrain, nowMs: number): boolean => rests > 0 && nowMs < restUntilMs + lastingMs;
+/** Whether the link was recently too slow. */
+export const isStrained = ({backoffUntilMs, consecutiveBackoffs}: LinkStrain, nowMs: number): boolean => consecutiveBackoffs > 0 && nowMs < backoffUntilMs + strainTimeoutMs;
 
-/** How long this host should exchange nothing. */
-export const strainRestMs = ({restUntilMs}: LinkStrain, nowMs: number): number => Math.max(0, restUntilMs - nowMs);
+/** Remaining time in which this host should not exchange chunks. */
+export const strainRestMs = ({backoffUntilMs}: LinkStrain, nowMs: number): number => Math.max(0, backoffUntilMs - nowMs);
--- a/packages/coordination/src/swarm/neighbours.ts
+++ b/packages/coordination/src/swarm/neighbours.ts
@@ -5,42 +5,41 @@
 	readonly self: SwarmPeer;
 	readonly manifestId: string;
 	readonly peers: readonly SwarmPeer[];
-	/** Even; two neighbours come from each ring. */
+	/** Number of neighbours; must be even, since each ring contributes two. */
 	readonly count: number;
 };
 
-/** Of eight rings one goes over all regions and two over the zones of the region. */
-const acrossRegionsShare = 1 / 8;
-const acrossZonesShare = 2 / 8;
+/** Of eight rings, one spans all regions and two span the zones of the host's region. */
+const crossRegionRingShare = 1 / 8;
+const crossZoneRingShare = 2 / 8;
 
 /**
- * Chooses whom to exchange chunks with. In each of several rings all hosts
- * stand in an order of their own, by hash; a host's neighbours are the one
- * before and the one after it. So every host has the same number of
- * neighbours (one with fewer would finish last), both ends choose each other
- * without a word, and a loss moves only those who stood beside the lost one.
- * Most rings lie within a zone, where links are the cheapest; the others keep
- * the graph whole when a zone is lost.
+ * Chooses the neighbours with which to exchange chunks. Each of several rings
+ * orders all hosts by a different hash; a host's neighbours are its predecessor
+ * and successor. So every host has the same number of neighbours (one with fewer
+ * would finish last), both sides choose each other without communication, and the
+ * loss of a host affects only its neighbours. Most rings are within a zone, where
+ * links are cheapest; the others keep the graph connected if a zone is lost.
  */
 export const chooseNeighbours = ({self, manifestId, peers, count}: ChooseNeighboursOptions): string[] => {
 	const chosen = new Set<string>();
 	const rings = Math.max(1, Math.floor(count / 2));
-	const acrossRegions = Math.max(1, Math.round(rings * acrossRegionsShare));
-	const acrossZones = Math.max(1, Math.round(rings * acrossZonesShare));
+	const crossRegionRings = Math.max(1, Math.round(rings * crossRegionRingShare));
+	const crossZoneRings = Math.max(1, Math.round(rings * crossZoneRingShare));
 	const regionPeers = peers.filter(peer => peer.regionId === self.regionId);
 	const zonePeers = regionPeers.filter(peer => peer.zoneId === self.zoneId);
 	const addRings = (members: readonly SwarmPeer[], first: number, ringCount: number): void => {
 		for (let ring = first; ring < first + ringCount; ring++) {
-			for (const hostId of besideOnRing(`${manifestId}/ring/${ring}`, self.hostId, members)) {
+			for (const hostId of adjacentOnRing(`${manifestId}/ring/${ring}`, self.hostId, members)) {
 				chosen.add(hostId);
 			}
 		}
 	};
 
-	addRings(peers, 0, acrossRegions);
-	addRings(regionPeers, acrossRegions, acrossZones);
-	addRings(zonePeers, acrossRegions + acrossZones, rings - acrossRegions - acrossZones);
-	// Small zones leave places free; further rings over all fill them.
+	addRings(peers, 0, crossRegionRings);
+	addRings(regionPeers, crossRegionRings, crossZoneRings);
+	addRings(zonePeers, crossRegionRings + crossZoneRings, rings - crossRegionRings - crossZoneRings);
+	// Small zones yield too few neighbours; further rings over all hosts add the missing ones.
 	for (let ring = rings; chosen.size < Math.min(count - 1, peers.length) && ring < 3 * rings; ring++) {
 		addRings(peers, ring, 1);
 	}
@@ -48,27 +47,27 @@
 	return [...chosen];
 };
 
-type Place = {readonly hostId: string; readonly weight: number};
+type RingPosition = {readonly hostId: string; readonly weight: number};
 
-const isBefore = (a: Place, b: Place): boolean => a.weight < b.weight || (a.weight === b.weight && a.hostId < b.hostId);
+const isBefore = (a: RingPosition, b: RingPosition): boolean => a.weight < b.weight || (a.weight === b.weight && a.hostId < b.hostId);
 
-/** The members before and after `selfId` on the ring; one member alone is both. */
-const besideOnRing = (key: string, selfId: string, members: readonly SwarmPeer[]): string[] => {
-	const self: Place = {hostId: selfId, weight: rendezvousWeight(key, selfId)};
-	let before: Place | null = null;
-	let after: Place | null = null;
-	let first: Place | null = null;
-	let last: Place | null = null;
+/** The predecessor and successor of `selfId` on the ring; the same host if there is only one other member. */
+const adjacentOnRing = (key: string, selfId: string, members: readonly SwarmPeer[]): string[] => {
+	const self: RingPosition = {hostId: selfId, weight: rendezvousWeight(key, selfId)};
+	let before: RingPosition | null = null;
+	let after: RingPosition | null = null;
+	let first: RingPosition | null = null;
+	let last: RingPosition | null = null;
 	for (const {hostId} of members) {
-		const place: Place = {hostId, weight: rendezvousWeight(key, hostId)};
-		first = first === null || isBefore(place, first) ? place : first;
-		last = last === null || isBefore(last, place) ? place : last;
-		if (isBefore(place, self)) {
-			before = before === null || isBefore(before, place) ? place : before;
+		const position: RingPosition = {hostId, weight: rendezvousWeight(key, hostId)};
+		first = first === null || isBefore(position, first) ? position : first;
+		last = last === null || isBefore(last, position) ? position : last;
+		if (isBefore(position, self)) {
+			before = before === null || isBefore(before, position) ? position : before;
 		} else {
-			after = after === null || isBefore(place, after) ? place : after;
+			after = after === null || isBefore(position, after) ? position : after;
 		}
 	}
 
-	return [before ?? last, after ?? first].flatMap(place => place === null ? [] : [place.hostId]);
+	return [before ?? last, after ?? first].flatMap(position => position === null ? [] : [position.hostId]);
 };
--- a/packages/coordination/src/swarm/schedule.ts
+++ b/packages/coordination/src/swarm/schedule.ts
@@ -6,18 +6,18 @@
 	ChunkSource, Neighbour, SwarmEffect, SwarmState,
 } from './types.js';
 
-/** Starved for this many takeover times, a host that is no drawer asks the origin itself. */
-const starvedTakeovers = 10;
-/** A fetch is doubled at the end once it took this many times as long as usual. */
+/** After this many takeover times without progress, any host may fetch from the origin. */
+const starvationTakeovers = 10;
+/** Near the end, a fetch that takes this many times the typical fetch time is duplicated. */
 const endGameFactor = 2;
 
-/** Starts what may be fetched now: owned chunks from the origin, then the rarest from neighbours. */
+/** Starts all fetches that are currently possible: owned chunks from the origin, then the rarest chunks from neighbours. */
 export const schedule = (state: SwarmState, effects: SwarmEffect[], nowMs: number): SwarmEffect[] => {
 	if (state.held.size === state.options.totalChunks) {
 		return effects;
 	}
 
-	drawFromOrigin(state, effects, nowMs);
+	fetchFromOrigin(state, effects, nowMs);
 	fetchFromPeers(state, effects, nowMs);
 	return effects;
 };
@@ -43,13 +43,13 @@
 
 const origin: ChunkSource = {type: 'origin'};
 
-const drawFromOrigin = (state: SwarmState, effects: SwarmEffect[], nowMs: number): void => {
+const fetchFromOrigin = (state: SwarmState, effects: SwarmEffect[], nowMs: number): void => {
 	const {maxOriginFetches} = state.options;
-	if (nowMs < state.originRestUntilMs || state.originFetches >= maxOriginFetches || !knowsNeighbours(state, nowMs)) {
+	if (nowMs < state.originBackoffUntilMs || state.originFetches >= maxOriginFetches || !haveNeighboursAnnounced(state, nowMs)) {
 		return;
 	}
 
-	// What a neighbour has comes from there; the ticket is for the first copy alone.
+	// A chunk that a neighbour has is fetched from the neighbour; the ticket permits only the first copy.
 	const {ownChunks} = state.tickets;
 	while (ownChunks.length > 0 && state.originFetches < maxOriginFetches) {
 		const chunk = ownChunks.pop()!;
@@ -58,74 +58,74 @@
 		}
 	}
 
-	redraw(state, effects, nowMs);
+	refetchOverdue(state, effects, nowMs);
 };
 
-/** Of the time before the first further draw of a chunk, what each drawer waits for the one before it. */
-const redrawStepShare = 1 / 5;
+/** Delay between the fetchers that refetch an overdue chunk, as a share of the time before the first refetch. */
+const refetchStepShare = 1 / 5;
 
-/** While the origin fails, one further draw tells when it is back, in case that the owners of all that is missing are gone. */
-const mostProbes = 1;
+/** While the origin fails, one refetch at a time probes whether it is back, in case the owners of all missing chunks are lost. */
+const maxProbes = 1;
 
 /**
- * Draws what the owner has not shown in time, though it may only be slow. Time in
- * which the origin was lost does not count: all drawers would draw all chunks the
- * moment it is back, its link would carry each of them several times, and the
- * version would be whole that much later.
+ * Fetches chunks that their owner has not announced in time, although it may only
+ * be slow. Time in which the origin was unreachable does not count: otherwise all
+ * fetchers would fetch all chunks as soon as it is back, its link would carry each
+ * of them several times, and the version would be complete that much later.
  */
-const redraw = (state: SwarmState, effects: SwarmEffect[], nowMs: number): void => {
-	const {options: {redrawMs, maxOriginFetches}, tickets: {ranks}, picker} = state;
-	const overdueMs = nowMs - state.drawingSinceMs - redrawMs;
+const refetchOverdue = (state: SwarmState, effects: SwarmEffect[], nowMs: number): void => {
+	const {options: {redrawMs: refetchDelayMs, maxOriginFetches}, tickets: {ranks}, picker} = state;
+	const overdueMs = nowMs - state.originAvailableSinceMs - refetchDelayMs;
 	if (overdueMs < 0) {
 		return;
 	}
 
-	const mostFetches = state.originFailures > 0 ? mostProbes : maxOriginFetches;
+	const fetchLimit = state.originFailures > 0 ? maxProbes : maxOriginFetches;
 
-	const mostRank = 1 + Math.floor(overdueMs / (redrawMs * redrawStepShare));
+	const maxRank = 1 + Math.floor(overdueMs / (refetchDelayMs * refetchStepShare));
 	for (const [chunk, rank] of ranks.entries()) {
-		if (state.originFetches >= mostFetches) {
+		if (state.originFetches >= fetchLimit) {
 			return;
 		}
 
-		if (rank > 0 && rank <= mostRank && picker.wanted[chunk] === 1 && !isAvailable(state, chunk)) {
+		if (rank > 0 && rank <= maxRank && picker.wanted[chunk] === 1 && !isAvailable(state, chunk)) {
 			start(state, effects, chunk, origin, nowMs);
 		}
 	}
 };
 
 /**
- * A host that joins late owns chunks that the others have long had. It learns
- * so from their greetings; until then it draws nothing.
+ * A host that joins late may own chunks that the others already have. It learns
+ * this from their greetings, and fetches nothing from the origin until then.
  */
-const knowsNeighbours = (state: SwarmState, nowMs: number): boolean => nowMs - state.startedAtMs >= state.options.greetingWaitMs
-	|| [...state.neighbours.values()].every(neighbour => neighbour.isHeard);
+const haveNeighboursAnnounced = (state: SwarmState, nowMs: number): boolean => nowMs - state.startedAtMs >= state.options.greetingWaitMs
+	|| [...state.neighbours.values()].every(neighbour => neighbour.hasAnnounced);
 
-/** Nobody around has the chunk and nothing fetches it. */
-const isAbsent = ({picker}: SwarmState, chunk: number): boolean => picker.wanted[chunk] === 1 && picker.holders[chunk] === 0;
+/** Whether no neighbour has the chunk and it is not being fetched. */
+const isAbsent = ({picker}: SwarmState, chunk: number): boolean => picker.wanted[chunk] === 1 && picker.holderCounts[chunk] === 0;
 
 const fetchFromPeers = (state: SwarmState, effects: SwarmEffect[], nowMs: number): void => {
 	const {maxFetches, random, originCopies} = state.options;
 	while (state.peerFetches + state.originFetches < maxFetches) {
-		const available = askable(state, nowMs);
+		const available = requestableNeighbours(state, nowMs);
 		const picked = available.length === 0 ? null : pickChunk(state.picker, random, chunk => chooseHolder(state, allowedHolders(state, available, chunk, nowMs), chunk));
 		if (picked !== null) {
 			start(state, effects, picked.chunk, {type: 'peer', hostId: picked.source.hostId}, nowMs);
-		} else if (originCopies === 1 || !drawFurtherCopy(state, effects, nowMs)) {
+		} else if (originCopies === 1 || !fetchFurtherCopy(state, effects, nowMs)) {
 			break;
 		}
 	}
 
 	if (state.peerFetches + state.originFetches < maxFetches) {
 		endGame(state, effects, nowMs);
-		askWhenStarved(state, effects, nowMs);
+		fetchWhenStarved(state, effects, nowMs);
 	}
 };
 
-const askable = ({options: {maxFetchesPerPeer}, neighbours}: SwarmState, nowMs: number): Neighbour[] => {
+const requestableNeighbours = ({options: {maxFetchesPerPeer}, neighbours}: SwarmState, nowMs: number): Neighbour[] => {
 	const found: Neighbour[] = [];
 	for (const neighbour of neighbours.values()) {
-		if (neighbour.outstanding < maxFetchesPerPeer && neighbour.restUntilMs <= nowMs) {
+		if (neighbour.outstanding < maxFetchesPerPeer && neighbour.backoffUntilMs <= nowMs) {
 			found.push(neighbour);
 		}
 	}
@@ -133,22 +133,22 @@
 	return found;
 };
 
-const isNear = ({options: {self}, peers}: SwarmState, {hostId}: Neighbour): boolean => peers.get(hostId)?.zoneId === self.zoneId;
+const isInOwnZone = ({options: {self}, peers}: SwarmState, {hostId}: Neighbour): boolean => peers.get(hostId)?.zoneId === self.zoneId;
 
-/** Who may be asked for a chunk now: anybody, or where imports take turns, those of the zone until it is this host's turn. */
+/** The neighbours from which a chunk may be fetched now: any of them or, if zone imports take turns, only those of this zone until it is this host's turn. */
 const allowedHolders = (state: SwarmState, available: readonly Neighbour[], chunk: number, nowMs: number): readonly Neighbour[] => {
 	const {options: {importWaitMs}, neighbours, imports} = state;
 	if (importWaitMs === 0) {
 		return available;
 	}
 
-	const near = available.filter(neighbour => isNear(state, neighbour));
-	// A near one that has the chunk and is busy now is waited for.
-	const isInZone = [...neighbours.values()].some(neighbour => neighbour.have[chunk] === 1 && neighbour.failures === 0 && isNear(state, neighbour));
-	return isInZone || !mayImport(imports, chunk, importWaitMs, nowMs) ? near : available;
+	const inOwnZone = available.filter(neighbour => isInOwnZone(state, neighbour));
+	// If a neighbour in the zone has the chunk but is busy, this host waits for it.
+	const isHeldInOwnZone = [...neighbours.values()].some(neighbour => neighbour.have[chunk] === 1 && neighbour.failures === 0 && isInOwnZone(state, neighbour));
+	return isHeldInOwnZone || !mayImport(imports, chunk, importWaitMs, nowMs) ? inOwnZone : available;
 };
 
-/** The neighbour with the fewest of our requests; ties at random, so that none is everybody's first choice. */
+/** The holder with the fewest outstanding requests of this host; ties are broken at random, so that not all hosts choose the same one. */
 const chooseHolder = ({options: {random}}: SwarmState, available: readonly Neighbour[], chunk: number): Neighbour | null => {
 	if (available.length === 0) {
 		return null;
@@ -166,10 +166,10 @@
 	return best;
 };
 
-/** With a budget of several copies the origin serves as one more holder, to the first few in rank of each chunk. */
-const drawFurtherCopy = (state: SwarmState, effects: SwarmEffect[], nowMs: number): boolean => {
+/** If several copies may leave the origin, it serves as a further holder for the fetchers with the lowest ranks for each chunk. */
+const fetchFurtherCopy = (state: SwarmState, effects: SwarmEffect[], nowMs: number): boolean => {
 	const {originCopies, maxOriginFetches} = state.options;
-	if (nowMs < state.originRestUntilMs || state.originFetches >= maxOriginFetches || !knowsNeighbours(state, nowMs)) {
+	if (nowMs < state.originBackoffUntilMs || state.originFetches >= maxOriginFetches || !haveNeighboursAnnounced(state, nowMs)) {
 		return false;
 	}
 
@@ -183,13 +183,13 @@
 	return true;
 };
 
-/** Near the end a slow source would hold up the whole version: a second one is asked, and the loser cancelled. */
+/** Near the end, a slow source would delay the complete version, so the chunk is also requested from a second one; the slower fetch is cancelled. */
 const endGame = (state: SwarmState, effects: SwarmEffect[], nowMs: number): void => {
 	if (state.held.size + state.fetches.size < state.options.totalChunks || state.typicalFetchMs === 0) {
 		return;
 	}
 
-	const available = [...state.neighbours.values()].filter(neighbour => neighbour.outstanding === 0 && neighbour.restUntilMs <= nowMs);
+	const available = [...state.neighbours.values()].filter(neighbour => neighbour.outstanding === 0 && neighbour.backoffUntilMs <= nowMs);
 	for (const [chunk, running] of state.fetches) {
 		const isSlow = running.length === 1 && nowMs - running[0]!.startedAtMs > endGameFactor * state.typicalFetchMs;
 		const holder = isSlow ? chooseHolder(state, allowedHolders(state, available, chunk, nowMs), chunk) : null;
@@ -201,14 +201,15 @@
 };
 
 /**
- * All drawers may be beyond reach of this host while control still counts
- * them as living. Then a version would never become whole here; so after a
- * long wait the living ask by themselves, one after the other for each chunk.
+ * All fetchers may be unreachable for this host while the control plane still
+ * counts them as live. Then a version would never become complete here, so after
+ * a long wait the hosts fetch from the origin themselves, one after the other for
+ * each chunk.
  */
-const askWhenStarved = (state: SwarmState, effects: SwarmEffect[], nowMs: number): void => {
+const fetchWhenStarved = (state: SwarmState, effects: SwarmEffect[], nowMs: number): void => {
 	const {self, manifestId, takeoverMs} = state.options;
-	const starvedMs = nowMs - state.progressAtMs - (starvedTakeovers * takeoverMs);
-	if (starvedMs < 0 || state.fetches.size > 0 || nowMs < state.originRestUntilMs) {
+	const starvedMs = nowMs - state.progressAtMs - (starvationTakeovers * takeoverMs);
+	if (starvedMs < 0 || state.fetches.size > 0 || nowMs < state.originBackoffUntilMs) {
 		return;
 	}
 
--- a/packages/coordination/src/swarm/source-rests.ts
+++ b/packages/coordination/src/swarm/source-rests.ts
@@ -1,72 +1,72 @@
-/** The origin, or the rate-limited weight store as the second source. */
+/** The origin, or the rate-limited weight store as a second source. */
 export type WeightSource = 'origin' | 'store';
 
-export type RemainingRests = Record<WeightSource, number>;
+export type RemainingBackoffs = Record<WeightSource, number>;
 
-/** Until when each source is left alone. */
+/** Backoffs of the sources, from which nothing is fetched until they expire. */
 export type SourceRests = {
 	readonly hasStore: boolean;
 	/**
-	 * Limits that a source has set. They travel with the announcements: what
-	 * one agent was told binds its neighbours too, or each of them would find
-	 * the limit out by itself and so keep it exceeded.
+	 * Rate limits reported by the sources. They are sent with the announcements,
+	 * so that neighbours of the limited agent respect them too; otherwise each of
+	 * them would discover the limit itself and so keep exceeding it.
 	 */
-	readonly limitedUntilMs: RemainingRests;
-	/** Sources that this host cannot reach; the others may well reach them. */
-	readonly unreachableUntilMs: RemainingRests;
-	/** Failures in a row. */
-	readonly failures: RemainingRests;
+	readonly limitedUntilMs: RemainingBackoffs;
+	/** Sources that this host cannot reach; other hosts may be able to. */
+	readonly unreachableUntilMs: RemainingBackoffs;
+	/** Consecutive failures. */
+	readonly failures: RemainingBackoffs;
 };
 
-const longestLimitMs = 60_000;
-const unreachableRestMs = 500;
-const longestRestMs = 8000;
-/** Without a second source the origin is asked again soon: there is nothing else. */
-const onlySourceRestMs = 300;
+const maxLimitMs = 60_000;
+const unreachableBackoffMs = 500;
+const maxBackoffMs = 8000;
+/** Without a second source, the origin is retried soon because there is no alternative. */
+const onlySourceBackoffMs = 300;
 
 export const createSourceRests = (hasStore: boolean): SourceRests => ({
 	hasStore, limitedUntilMs: {origin: 0, store: 0}, unreachableUntilMs: {origin: 0, store: 0}, failures: {origin: 0, store: 0},
 });
 
-/** A source answered 429. */
-export const noteLimited = (rests: SourceRests, source: WeightSource, restMs: number, nowMs: number): void => {
-	rests.limitedUntilMs[source] = Math.max(rests.limitedUntilMs[source], nowMs + Math.min(restMs, longestLimitMs));
+/** Records that a source responded with status 429. */
+export const noteLimited = (backoffs: SourceRests, source: WeightSource, backoffMs: number, nowMs: number): void => {
+	backoffs.limitedUntilMs[source] = Math.max(backoffs.limitedUntilMs[source], nowMs + Math.min(backoffMs, maxLimitMs));
 };
 
-export const noteUnreachable = (rests: SourceRests, source: WeightSource, nowMs: number): void => {
-	const restMs = rests.hasStore ? Math.min(longestRestMs, unreachableRestMs * (2 ** rests.failures[source])) : onlySourceRestMs;
-	rests.failures[source]++;
-	rests.unreachableUntilMs[source] = nowMs + restMs;
+export const noteUnreachable = (backoffs: SourceRests, source: WeightSource, nowMs: number): void => {
+	const backoffMs = backoffs.hasStore ? Math.min(maxBackoffMs, unreachableBackoffMs * (2 ** backoffs.failures[source])) : onlySourceBackoffMs;
+	backoffs.failures[source]++;
+	backoffs.unreachableUntilMs[source] = nowMs + backoffMs;
 };
 
 export const noteReached = ({failures}: SourceRests, source: WeightSource): void => {
 	failures[source] = 0;
 };
 
-/** What is told to the neighbours. */
-export const remainingLimits = ({limitedUntilMs}: SourceRests, nowMs: number): RemainingRests => ({
+/** Remaining limits to announce to the neighbours. */
+export const remainingLimits = ({limitedUntilMs}: SourceRests, nowMs: number): RemainingBackoffs => ({
 	origin: Math.max(0, Math.ceil(limitedUntilMs.origin - nowMs)), store: Math.max(0, Math.ceil(limitedUntilMs.store - nowMs)),
 });
 
-export const hearLimits = (rests: SourceRests, heard: RemainingRests, nowMs: number): void => {
-	noteLimited(rests, 'origin', heard.origin, nowMs);
-	noteLimited(rests, 'store', heard.store, nowMs);
+export const hearLimits = (backoffs: SourceRests, received: RemainingBackoffs, nowMs: number): void => {
+	noteLimited(backoffs, 'origin', received.origin, nowMs);
+	noteLimited(backoffs, 'store', received.store, nowMs);
 };
 
 export type SourceChoice
 	= | {readonly type: 'ask'; readonly source: WeightSource}
 		| {readonly type: 'wait'; readonly waitMs: number};
 
-/** The origin while it may be asked, else the store, else a wait. */
-export const chooseSource = (rests: SourceRests, nowMs: number): SourceChoice => {
-	const waitFor = (source: WeightSource): number => Math.max(0, rests.limitedUntilMs[source] - nowMs, rests.unreachableUntilMs[source] - nowMs);
+/** Chooses the origin if it has no backoff, otherwise the store, otherwise a wait. */
+export const chooseSource = (backoffs: SourceRests, nowMs: number): SourceChoice => {
+	const waitFor = (source: WeightSource): number => Math.max(0, backoffs.limitedUntilMs[source] - nowMs, backoffs.unreachableUntilMs[source] - nowMs);
 	if (waitFor('origin') === 0) {
 		return {type: 'ask', source: 'origin'};
 	}
 
-	if (rests.hasStore && waitFor('store') === 0) {
+	if (backoffs.hasStore && waitFor('store') === 0) {
 		return {type: 'ask', source: 'store'};
 	}
 
-	return {type: 'wait', waitMs: rests.hasStore ? Math.min(waitFor('origin'), waitFor('store')) : waitFor('origin')};
+	return {type: 'wait', waitMs: backoffs.hasStore ? Math.min(waitFor('origin'), waitFor('store')) : waitFor('origin')};
 };
--- a/packages/coordination/src/swarm/standstill.ts
+++ b/packages/coordination/src/swarm/standstill.ts
@@ -1,26 +1,26 @@
 /**
- * Notices that this process itself stood still: its host was frozen, suspended or
- * out of processor. What it measured meanwhile says nothing of links and sources.
+ * Detects stalls of this process: its host was suspended or had no processor time
+ * left. Durations measured across a stall say nothing about links and sources.
  */
-export type Standstill = {lookedAtMs: number; endedAtMs: number};
+export type ProcessStall = {checkedAtMs: number; endedAtMs: number};
 
-/** How often a process looks at its clock. */
+/** Interval at which a process checks its clock. */
 export const standstillLookMs = 100;
-/** A busy loop is late by tens of ms; four looks that are missed in a row are no load. */
-const leastMs = 400;
+/** A busy event loop is late by tens of ms; four consecutive missed checks cannot be explained by load. */
+const minStallMs = 400;
 
-export const createStandstill = (nowMs: number): Standstill => ({lookedAtMs: nowMs, endedAtMs: Number.NEGATIVE_INFINITY});
+export const createStandstill = (nowMs: number): ProcessStall => ({checkedAtMs: nowMs, endedAtMs: Number.NEGATIVE_INFINITY});
 
-/** `true` if the process has stood still since the last look. */
-export const lookAtClock = (standstill: Standstill, nowMs: number): boolean => {
-	const stoodStill = nowMs - standstill.lookedAtMs > leastMs;
-	if (stoodStill) {
-		standstill.endedAtMs = nowMs;
+/** Checks the clock. Returns `true` if the process has stalled since the last check. */
+export const lookAtClock = (stall: ProcessStall, nowMs: number): boolean => {
+	const wasStalled = nowMs - stall.checkedAtMs > minStallMs;
+	if (wasStalled) {
+		stall.endedAtMs = nowMs;
 	}
 
-	standstill.lookedAtMs = nowMs;
-	return stoodStill;
+	stall.checkedAtMs = nowMs;
+	return wasStalled;
 };
 
-/** Whether it stood still at any time since; also where the first event behind the standstill comes before the next look. */
-export const hasStoodStill = ({lookedAtMs, endedAtMs}: Standstill, sinceMs: number, nowMs: number): boolean => endedAtMs >= sinceMs || nowMs - lookedAtMs > leastMs;
+/** Whether the process has stalled at any time since `sinceMs`, including a stall that the next check has yet to detect. */
+export const hasStoodStill = ({checkedAtMs, endedAtMs}: ProcessStall, sinceMs: number, nowMs: number): boolean => endedAtMs >= sinceMs || nowMs - checkedAtMs > minStallMs;
--- a/packages/coordination/src/swarm/swarm.ts
+++ b/packages/coordination/src/swarm/swarm.ts
@@ -1,7 +1,7 @@
 import {announceDue, announceStored} from './announcements.js';
 import {createChunkPicker, setWanted} from './chunk-picker.js';
-import {greetNewNeighbours, hearPeer, onPeerFailure} from './exchange.js';
-import {createOriginTickets, noteSeen, suspectDrawers} from './origin-tickets.js';
+import {greetNewNeighbours, recordAnnouncement, onPeerFailure} from './exchange.js';
+import {createOriginTickets, recordSeen, suspectStalledFetchers} from './origin-tickets.js';
 import {schedule} from './schedule.js';
 import {createZoneImports, rankZoneImports} from './zone-imports.js';
 import type {
@@ -11,26 +11,27 @@
 type FailedEvent = Extract<SwarmEvent, {type: 'failed'}>;
 
 const minStallMs = 500;
-/** A fetch that takes this many times as long as usual has stalled. */
+/** A fetch that takes this many times the typical fetch time has stalled. */
 const stallFactor = 6;
-/** Of the takeover time: a longer silence of all drawers is the origin's. */
-const activeGapShare = 1 / 4;
-const typicalWeight = 0.1;
-const originRestMs = 250;
-/** Well below the takeover time: a drawer that rests longer than the others would seem dead to them. */
-const maxOriginRestMs = 800;
+/** As a share of the takeover time: a longer silence of all fetchers is attributed to the origin. */
+const progressGapShare = 1 / 4;
+const typicalFetchWeight = 0.1;
+const originBackoffMs = 250;
+/** Well below the takeover time: a fetcher with a longer backoff than the others would appear to have crashed. */
+const maxOriginBackoffMs = 800;
 
 export const createSwarm = (options: SwarmOptions): {state: SwarmState; effects: SwarmEffect[]} => {
 	const {
-		held, peers, maxFetches = 5, maxFetchesPerPeer = 2, maxOriginFetches = 2, originCopies = 1, drawers = 8,
+		held, peers, maxFetches = 5, maxFetchesPerPeer = 2, maxOriginFetches = 2, originCopies = 1, drawers: fetcherCount = 8,
 		takeoverMs = 2000, fetchTimeoutMs = 5000, maxNeighbours = 10, maxBadChunks = 3, importWaitMs = 0, greetingWaitMs = 500,
-		redrawMs = Number.POSITIVE_INFINITY, nearDrawers = null, ...rest
+		redrawMs: refetchDelayMs = Number.POSITIVE_INFINITY, nearDrawers: nearFetchers = null, ...otherOptions
 	} = options;
-	const {self, manifestId, totalChunks, nowMs} = rest;
+	const {self, manifestId, totalChunks, nowMs} = otherOptions;
 	const seen = new Uint8Array(totalChunks);
 	const state: SwarmState = {
 		options: {
-			...rest, maxFetches, maxFetchesPerPeer, maxOriginFetches, originCopies, drawers, takeoverMs, fetchTimeoutMs, maxNeighbours, maxBadChunks, importWaitMs, greetingWaitMs, redrawMs, nearDrawers,
+			...otherOptions, maxFetches, maxFetchesPerPeer, maxOriginFetches, originCopies, drawers: fetcherCount,
+			takeoverMs, fetchTimeoutMs, maxNeighbours, maxBadChunks, importWaitMs, greetingWaitMs, redrawMs: refetchDelayMs, nearDrawers: nearFetchers,
 		},
 		peers: new Map(),
 		neighbours: new Map(),
@@ -40,23 +41,23 @@
 		peerFetches: 0,
 		originFetches: 0,
 		originFailures: 0,
-		originRestUntilMs: nowMs,
-		drawingSinceMs: nowMs,
+		originBackoffUntilMs: nowMs,
+		originAvailableSinceMs: nowMs,
 		tickets: createOriginTickets({
-			selfId: self.hostId, hostIds: [self.hostId], manifestId, totalChunks, drawers, seen, nowMs, gapMs: takeoverMs * activeGapShare,
+			selfId: self.hostId, hostIds: [self.hostId], manifestId, totalChunks, fetcherCount, seen, nowMs, maxProgressGapMs: takeoverMs * progressGapShare,
 		}),
 		typicalFetchMs: 0,
 		progressAtMs: nowMs,
 		announceAtMs: null,
 		imports: createZoneImports(totalChunks),
 		badChunks: new Map(),
-		setAside: new Set(),
-		avoidedUntilMs: new Map(),
+		ejected: new Set(),
+		excludedUntilMs: new Map(),
 		startedAtMs: nowMs,
 	};
 	for (const chunk of held) {
 		setWanted(state.picker, chunk, false);
-		noteSeen(state.tickets, chunk, nowMs);
+		recordSeen(state.tickets, chunk, nowMs);
 	}
 
 	const effects = changePeers(state, peers, nowMs);
@@ -68,14 +69,14 @@
 };
 
 /**
- * One step of the exchange of one manifest's chunks on one host. A plain
- * exhaustive switch: an agent takes this step for every chunk that a neighbour
- * gains, and matching with ts-pattern took a quarter of the time.
+ * Performs one step of the exchange of one manifest's chunks on one host. Uses a
+ * plain exhaustive switch: an agent runs this step for every chunk that a
+ * neighbour obtains, and matching with ts-pattern took a quarter of its time.
  */
 export const stepSwarm = (state: SwarmState, event: SwarmEvent, nowMs: number): SwarmEffect[] => {
 	switch (event.type) {
 		case 'peerHas': {
-			return schedule(state, hearPeer(state, event, nowMs), nowMs);
+			return schedule(state, recordAnnouncement(state, event, nowMs), nowMs);
 		}
 
 		case 'stored': {
@@ -102,49 +103,49 @@
 	&& [...a].every(([hostId, peer]) => isSamePeer(peer, b.get(hostId)));
 
 /**
- * Every change of the catalog comes here, also one that says only that some
- * host is ready. Ranking the chunks anew for each would take all agents'
- * processor time at the same moment, while versions switch, and would forget
- * which drawers are suspected.
+ * Called for each change of the catalog, even if only some host became ready.
+ * Ranking the chunks again for each of them would use all agents' processor time
+ * at the same time, while versions switch, and would discard which fetchers are
+ * suspected.
  */
 const changePeers = (state: SwarmState, peers: readonly SwarmPeer[], nowMs: number): SwarmEffect[] => {
-	const {self, manifestId, totalChunks, drawers, takeoverMs} = state.options;
+	const {self, manifestId, totalChunks, drawers: fetcherCount, takeoverMs} = state.options;
 	const next = new Map(peers.filter(peer => peer.hostId !== self.hostId).map(peer => [peer.hostId, peer]));
 	if (!isSamePeers(state.peers, next)) {
 		state.peers = next;
 		state.tickets = createOriginTickets({
-			selfId: self.hostId, hostIds: [self.hostId, ...next.keys()], nearIds: nearHosts(state, next), manifestId, totalChunks, drawers,
-			seen: state.tickets.seen, nowMs, gapMs: takeoverMs * activeGapShare,
+			selfId: self.hostId, hostIds: [self.hostId, ...next.keys()], originZoneIds: hostsInOriginZone(state, next), manifestId, totalChunks, fetcherCount,
+			seen: state.tickets.seen, nowMs, maxProgressGapMs: takeoverMs * progressGapShare,
 		});
 		rankZoneImports(state.imports, {self, manifestId, peers: next.values()});
 		return greetNewNeighbours(state, nowMs);
 	}
 
-	// A peer that was left out for a while may come back.
-	return state.avoidedUntilMs.size === 0 ? [] : greetNewNeighbours(state, nowMs);
+	// A peer whose exclusion has expired may become a neighbour again.
+	return state.excludedUntilMs.size === 0 ? [] : greetNewNeighbours(state, nowMs);
 };
 
-/** The hosts that should draw before the others. */
-const nearHosts = ({options: {self, nearDrawers}}: SwarmState, peers: ReadonlyMap<string, SwarmPeer>): ReadonlySet<string> => {
-	if (nearDrawers === null) {
+/** The hosts that should fetch from the origin before the others. */
+const hostsInOriginZone = ({options: {self, nearDrawers: nearFetchers}}: SwarmState, peers: ReadonlyMap<string, SwarmPeer>): ReadonlySet<string> => {
+	if (nearFetchers === null) {
 		return new Set();
 	}
 
-	const near = [self, ...peers.values()].filter(({zoneId}) => zoneId === nearDrawers.zoneId);
-	return new Set(near.length < nearDrawers.least ? [] : near.map(({hostId}) => hostId));
+	const originZonePeers = [self, ...peers.values()].filter(({zoneId}) => zoneId === nearFetchers.zoneId);
+	return new Set(originZonePeers.length < nearFetchers.least ? [] : originZonePeers.map(({hostId}) => hostId));
 };
 
-/** Chunks come from the origin every few tens of ms; without a new one anywhere for this long it is lost, or cut off. */
+/** Chunks arrive from the origin every few tens of ms; if none appears anywhere for this long, it is lost or partitioned. */
 const originSilenceMs = 500;
 
 /**
- * Whether the rest of the chunks can be had: hosts have shown them all, or the origin
- * still sends. What hosts pass on among themselves goes on for seconds after the
- * origin is lost, and tells nothing of when the last chunk comes.
+ * Whether the remaining chunks are available: hosts have announced all of them, or
+ * the origin is still sending. Exchanges among hosts continue for seconds after
+ * the origin is lost, so they do not indicate when the last chunk arrives.
  */
 export const isRestInReach = ({tickets: {seen, progressAtMs}}: SwarmState, nowMs: number): boolean => nowMs - progressAtMs < originSilenceMs || seen.every(shown => shown === 1);
 
-/** Ends the bookkeeping of one fetch; `null` when it was given up before. */
+/** Removes a fetch from the state. Returns `null` if it was cancelled before. */
 const endFetch = (state: SwarmState, chunk: number, source: ChunkSource): {startedAtMs: number} | null => {
 	const running = state.fetches.get(chunk) ?? [];
 	const ended = running.find(fetch => fetch.source.type === source.type && (source.type === 'origin' || (fetch.source as {hostId: string}).hostId === source.hostId));
@@ -165,7 +166,7 @@
 		state.peerFetches--;
 		const neighbour = state.neighbours.get(source.hostId);
 		if (neighbour !== undefined) {
-			// A neighbour that was dropped and came back starts at none.
+			// A neighbour that was dropped and added again starts with no outstanding fetches.
 			neighbour.outstanding = Math.max(0, neighbour.outstanding - 1);
 		}
 	}
@@ -177,7 +178,7 @@
 	const ended = endFetch(state, chunk, source);
 	if (source.type === 'origin') {
 		if (state.originFailures > 0) {
-			state.drawingSinceMs = nowMs;
+			state.originAvailableSinceMs = nowMs;
 		}
 
 		state.originFailures = 0;
@@ -189,7 +190,7 @@
 
 		if (ended !== null) {
 			const tookMs = nowMs - ended.startedAtMs;
-			state.typicalFetchMs = state.typicalFetchMs === 0 ? tookMs : state.typicalFetchMs + (typicalWeight * (tookMs - state.typicalFetchMs));
+			state.typicalFetchMs = state.typicalFetchMs === 0 ? tookMs : state.typicalFetchMs + (typicalFetchWeight * (tookMs - state.typicalFetchMs));
 		}
 	}
 
@@ -206,7 +207,7 @@
 	state.held.add(chunk);
 	state.progressAtMs = nowMs;
 	setWanted(state.picker, chunk, false);
-	noteSeen(state.tickets, chunk, nowMs);
+	recordSeen(state.tickets, chunk, nowMs);
 	effects.push(...announceStored(state, chunk, nowMs));
 	if (state.held.size === state.options.totalChunks) {
 		effects.push({type: 'complete'});
@@ -235,7 +236,7 @@
 	}
 
 	state.originFailures++;
-	state.originRestUntilMs = nowMs + (retryAfterMs ?? Math.min(maxOriginRestMs, originRestMs * (2 ** state.originFailures)));
+	state.originBackoffUntilMs = nowMs + (retryAfterMs ?? Math.min(maxOriginBackoffMs, originBackoffMs * (2 ** state.originFailures)));
 	return [];
 };
 
@@ -262,7 +263,7 @@
 		}, nowMs));
 	}
 
-	suspectDrawers(state.tickets, {
+	suspectStalledFetchers(state.tickets, {
 		selfId: self.hostId, manifestId, takeoverMs: Math.max(takeoverMs, stallFactor * state.typicalFetchMs), isOriginFailing: state.originFailures > 0, nowMs,
 	});
 	return schedule(state, effects, nowMs);
--- a/packages/coordination/src/swarm/types.ts
+++ b/packages/coordination/src/swarm/types.ts
@@ -10,10 +10,10 @@
 	= | {readonly type: 'origin'}
 		| {readonly type: 'peer'; readonly hostId: string};
 
-/** `busy`: the source is alive and refuses for now; `missing`: a peer announced what it does not have. */
+/** `busy`: the source is live but currently refuses; `missing`: a peer announced a chunk that it does not have. */
 export type FailureReason = 'corrupt' | 'missing' | 'unreachable' | 'stalled' | 'busy';
 
-/** `least`: hosts whose links together carry what the origin sends. */
+/** Zone of the origin. `least`: minimum number of hosts whose links together can carry what the origin sends. */
 export type NearDrawers = {readonly zoneId: string; readonly least: number};
 
 export type SwarmOptions = {
@@ -24,61 +24,62 @@
 	readonly peers: readonly SwarmPeer[];
 	readonly random: Random;
 	readonly nowMs: number;
-	/** Fetches from peers side by side. @default 5 */
+	/** Maximum number of concurrent fetches from peers. @default 5 */
 	readonly maxFetches?: number;
-	/** Fetches side by side from one peer. @default 2 */
+	/** Maximum number of concurrent fetches from one peer. @default 2 */
 	readonly maxFetchesPerPeer?: number;
-	/** Fetches from the origin side by side. @default 2 */
+	/** Maximum number of concurrent fetches from the origin. @default 2 */
 	readonly maxOriginFetches?: number;
-	/** Copies that may leave the origin while no host fails, 1 to 4. @default 1 */
+	/** Number of copies that may leave the origin while no host fails, 1 to 4. @default 1 */
 	readonly originCopies?: number;
-	/** Hosts that draw from the origin, for each copy. @default 8 */
+	/** Number of hosts that fetch from the origin, for each copy. @default 8 */
 	readonly drawers?: number;
 	/**
-	 * Hosts of the origin's zone draw its chunks, where there are enough of them for
-	 * its link; the others do if these fail. A chunk that is drawn from another zone
-	 * crosses once more on its way back. @default null, any host draws
+	 * Hosts of the origin's zone fetch its chunks, if there are enough of them for its
+	 * link; the others do if these fail. A chunk fetched from another zone crosses the
+	 * zone boundary once more on its way back. @default null, any host fetches
 	 */
 	readonly nearDrawers?: NearDrawers | null;
-	/** Without a new chunk from a drawer for this long the others take its chunks over. @default 2000 */
+	/** If an origin fetcher yields no new chunk for this long, the others take over its chunks. @default 2000 */
 	readonly takeoverMs?: number;
-	/** A fetch without an end for this long is given up, whatever fetches took so far. @default 5000 */
+	/** Timeout of a fetch while the typical fetch time is unknown, and minimum timeout of a fetch from the origin. @default 5000 */
 	readonly fetchTimeoutMs?: number;
-	/** Neighbours that this host exchanges chunks with; as many again may join them while hosts disagree about who lives. @default 10 */
+	/** Maximum number of neighbours that this host chooses for the exchange; as many again may be added while hosts disagree about which peers are live. @default 10 */
 	readonly maxNeighbours?: number;
-	/** Bad chunks after which a peer is put aside. @default 3 */
+	/** Number of corrupt or missing chunks after which a peer is ejected. @default 3 */
 	readonly maxBadChunks?: number;
 	/**
-	 * Each chunk is brought into a zone by one host of it; the next in turn does
-	 * so after this, and so on. 0: whoever wants a chunk fetches it from anywhere. @default 0
+	 * Each chunk is imported into a zone by one of its hosts; the next in turn does
+	 * so after this time, and so on. 0: any host fetches a chunk from anywhere. @default 0
 	 */
 	readonly importWaitMs?: number;
-	/** Neighbours that did not answer a greeting are not waited for longer than this. @default 500 */
+	/** Maximum time to wait for neighbours to answer the greeting. @default 500 */
 	readonly greetingWaitMs?: number;
 	/**
-	 * A chunk that nobody has shown by this time after the start is drawn by the
-	 * next drawer too, and so on in steps of a fifth. The origin may be lost at any
-	 * moment, so a copy is made of it before each silent drawer is proved dead.
+	 * A chunk that no host has announced by this time after the start is also fetched
+	 * by the next origin fetcher, and so on in steps of a fifth of this time. The
+	 * origin may be lost at any time, so the chunk is copied before it is certain
+	 * that each silent fetcher has crashed.
 	 * @default never
 	 */
 	readonly redrawMs?: number;
 };
 
-/** What this host knows of a neighbour. */
+/** This host's view of a neighbour. */
 export type Neighbour = {
 	readonly hostId: string;
-	/** 1 for each chunk that it announced. */
+	/** 1 for each chunk that the neighbour announced. */
 	readonly have: Uint8Array;
-	/** Chunks stored here that it has not been told of yet. */
+	/** Chunks stored here that have not been announced to the neighbour yet. */
 	unannounced: number[];
-	/** Whether this host chose it; otherwise it chose this host. */
+	/** Whether this host chose the neighbour; otherwise the neighbour chose this host. */
 	isChosen: boolean;
-	/** Whether it has announced anything, and so runs the exchange. */
-	isHeard: boolean;
+	/** Whether the neighbour has announced anything, and so takes part in the exchange. */
+	hasAnnounced: boolean;
 	outstanding: number;
-	/** Not asked before this time. */
-	restUntilMs: number;
-	/** Failures in a row, other than `busy`. */
+	/** No chunk is requested from the neighbour before this time. */
+	backoffUntilMs: number;
+	/** Consecutive failures, other than `busy`. */
 	failures: number;
 };
 
@@ -90,27 +91,27 @@
 	readonly neighbours: Map<string, Neighbour>;
 	readonly held: Set<number>;
 	readonly picker: ChunkPicker;
-	/** Running fetches by chunk; two for one chunk only near the end. */
+	/** Running fetches by chunk; more than one for a chunk only near the end. */
 	readonly fetches: Map<number, SwarmFetch[]>;
 	peerFetches: number;
 	originFetches: number;
-	/** Failures of the origin in a row. */
+	/** Consecutive failures of the origin. */
 	originFailures: number;
-	originRestUntilMs: number;
-	/** Since when the origin has been there to draw from, as far as this host can tell. */
-	drawingSinceMs: number;
+	originBackoffUntilMs: number;
+	/** Since when the origin has been reachable, as far as this host can tell. */
+	originAvailableSinceMs: number;
 	tickets: OriginTickets;
-	/** Moving mean of how long a fetch from a peer takes. */
+	/** Moving average of the duration of fetches from peers. */
 	typicalFetchMs: number;
 	/** When a chunk last arrived or was first seen. */
 	progressAtMs: number;
-	/** When gathered announcements go out; `null` while there are none. */
+	/** When the batched announcements are sent; `null` if there are none. */
 	announceAtMs: number | null;
 	readonly imports: ZoneImports;
 	readonly badChunks: Map<string, number>;
-	readonly setAside: Set<string>;
-	/** Peers that did not answer, and until when they are left out. */
-	readonly avoidedUntilMs: Map<string, number>;
+	readonly ejected: Set<string>;
+	/** Peers that did not respond, and until when they are excluded. */
+	readonly excludedUntilMs: Map<string, number>;
 	readonly startedAtMs: number;
 };
 
@@ -119,13 +120,13 @@
 		| {readonly type: 'peersChanged'; readonly peers: readonly SwarmPeer[]}
 		| {
 			readonly type: 'peerHas'; readonly hostId: string; readonly chunks: readonly number[];
-			/** The peer has just begun: `chunks` is all that it has, and it wants to know what this host has. */
+			/** The peer has just started: `chunks` lists all chunks that it has, and it requests those of this host. */
 			readonly isGreeting: boolean;
 		}
 		| {readonly type: 'stored'; readonly chunk: number; readonly source: ChunkSource}
 		| {
 			readonly type: 'failed'; readonly chunk: number; readonly source: ChunkSource; readonly reason: FailureReason;
-			/** When to ask a busy source again. */
+			/** Delay before a busy source may be requested again. */
 			readonly retryAfterMs?: number;
 		};
 
--- a/packages/coordination/src/swarm/uploads.ts
+++ b/packages/coordination/src/swarm/uploads.ts
@@ -1,6 +1,6 @@
-/** Which requests for chunks this host serves, over all versions. */
+/** Requests for chunks that this host is serving, over all versions. */
 export type Uploads = {
-	/** Requests being served or waiting for the link, by peer. */
+	/** Number of requests being served or waiting for the link, by peer. */
 	readonly active: Map<string, number>;
 	total: number;
 	readonly maxUploads: number;
@@ -8,7 +8,7 @@
 };
 
 export type CreateUploadsOptions = {
-	/** Requests that may wait for the link; each waits for those before it. @default 4 */
+	/** Maximum number of requests that are served or wait for the link; each waits for those before it. @default 4 */
 	readonly maxUploads?: number;
 	/** @default 2 */
 	readonly maxPerPeer?: number;
@@ -19,9 +19,9 @@
 });
 
 /**
- * Few uploads at the full rate bring whole chunks to others sooner than many
- * slow ones. Whoever comes while all places are taken is refused at once: in a
- * queue it would wait for this host while others have the chunk to give.
+ * A few uploads at the full rate deliver complete chunks sooner than many slow
+ * ones. A request that arrives while all slots are in use is refused at once: in
+ * a queue, it would wait for this host while other hosts could send the chunk.
  */
 export const admitUpload = (uploads: Uploads, peer: string): boolean => {
 	const own = uploads.active.get(peer) ?? 0;
--- a/packages/coordination/src/swarm/zone-imports.ts
+++ b/packages/coordination/src/swarm/zone-imports.ts
@@ -2,14 +2,15 @@
 import type {SwarmPeer} from './swarm-peer.js';
 
 /**
- * Whose turn it is to bring a chunk into this host's zone. Links between zones
- * are narrow and paid for: without turns each host fetches two thirds of a
- * version over them, with turns a zone of six brings in one copy and passes it on.
+ * Determines which host of a zone may import a chunk from another zone. Links
+ * between zones are slow and charged for: without turns, each host fetches two
+ * thirds of a version over them; with turns, a zone of six imports one copy and
+ * distributes it internally.
  */
 export type ZoneImports = {
-	/** This host's turn for each chunk; 0 is first. */
+	/** This host's position in the import order of each chunk; 0 is first. */
 	turns: Int16Array;
-	/** When a holder of the chunk was first known. */
+	/** When a holder of each chunk became known for the first time. */
 	readonly knownAtMs: Float64Array;
 };
 
@@ -22,7 +23,7 @@
 	imports.turns = Int16Array.from(imports.turns, (_, chunk) => rendezvousOrder(`${manifestId}/import/${self.zoneId}/${chunk}`, [self.hostId, ...members]).indexOf(self.hostId));
 };
 
-export const noteHolder = ({knownAtMs}: ZoneImports, chunk: number, nowMs: number): void => {
+export const recordHolder = ({knownAtMs}: ZoneImports, chunk: number, nowMs: number): void => {
 	knownAtMs[chunk] = Math.min(knownAtMs[chunk]!, nowMs);
 };
 
