--- a/packages/gateway/src/entry/attempt-limits.ts
+++ b/packages/gateway/src/entry/attempt-limits.ts
@@ -1,47 +1,48 @@
 import {hasFreshReport, type Candidate} from '@bitternpaddle/coordination';
 import type {Call} from './gateway-call.js';
 
-/** How long an attempt may be silent. */
+/** How long an attempt may receive nothing before it fails. */
 export type AttemptLimits = {
-	/** Before the first byte, from an endpoint that `isReported` no longer vouches for; `null`: only the caller's deadline ends it. */
+	/** Before the first byte, for an endpoint without a fresh report (`isReported`); `null` if only the caller's deadline applies. */
 	readonly firstByteMs: number | null;
-	/** Before the first byte in any case. */
-	readonly longestFirstByteMs: number | null;
-	/** Between events. */
+	/** Before the first byte, even with fresh reports. */
+	readonly maxFirstByteMs: number | null;
+	/** Between two events of a stream. */
 	readonly pauseMs: number | null;
-	/** Whether the endpoint's own host still says that it lives. */
+	/** Whether the endpoint's own host still reports that it is running. */
 	isReported(): boolean;
 };
 
-/** An engine that its host says nothing of may be frozen or gone. */
-const unreportedObjectives = 1.5;
+/** Timeouts as multiples of the route's objective. An engine without fresh reports from its host may be frozen or gone. */
+const unreportedObjectiveFactor = 1.5;
 /**
- * An engine that its host reports on has a queue: to leave it would only put
- * the request at the end of another. One whose answer was lost on its way is
- * silent for ever; this is soon enough for one more attempt.
+ * An engine with fresh reports is slow because requests are queued there: moving the
+ * request would only put it at the end of another queue. If the answer was lost in
+ * transit, nothing ever arrives; this timeout still leaves time for one more attempt.
  */
-const longestObjectives = 4.5;
-const plainObjectives = 2.5;
-const leastMs = 250;
-/** Of the longest pause that is on time. */
-const pauses = 3;
-const defaultPauseMs = 1000;
+const maxObjectiveFactor = 4.5;
+/** For services without an engine. */
+const plainObjectiveFactor = 2.5;
+const minTimeoutMs = 250;
+/** Multiple of the longest gap between events that still meets the objective. */
+const pauseFactor = 3;
+const defaultPauseObjectiveMs = 1000;
 
 const noLimits: AttemptLimits = {
-	firstByteMs: null, longestFirstByteMs: null, pauseMs: null, isReported: () => false,
+	firstByteMs: null, maxFirstByteMs: null, pauseMs: null, isReported: () => false,
 };
 
-/** `canRepeat`: the request may run again, and there are attempts left. */
+/** `canRepeat`: the request is idempotent and further attempts remain. */
 export const attemptLimits = ({service: {engine}, route}: Call, {load}: Candidate, canRepeat: boolean, nowMs: () => number): AttemptLimits => {
 	if (!canRepeat) {
 		return noLimits;
 	}
 
-	const withObjectives = (objectives: number): number => Math.max(leastMs, route.objectiveMs * objectives);
+	const scaleObjective = (objectives: number): number => Math.max(minTimeoutMs, route.objectiveMs * objectives);
 	return {
-		firstByteMs: withObjectives(engine === null ? plainObjectives : unreportedObjectives),
-		longestFirstByteMs: withObjectives(engine === null ? plainObjectives : longestObjectives),
-		pauseMs: pauses * (route.pauseObjectiveMs ?? defaultPauseMs),
+		firstByteMs: scaleObjective(engine === null ? plainObjectiveFactor : unreportedObjectiveFactor),
+		maxFirstByteMs: scaleObjective(engine === null ? plainObjectiveFactor : maxObjectiveFactor),
+		pauseMs: pauseFactor * (route.pauseObjectiveMs ?? defaultPauseObjectiveMs),
 		isReported: () => hasFreshReport(load, nowMs()),
 	};
 };
--- a/packages/gateway/src/entry/attempt.ts
+++ b/packages/gateway/src/entry/attempt.ts
@@ -6,7 +6,7 @@
 import type {EndpointConnections} from './endpoint-connections.js';
 import {createEventSplitter} from './event-splitter.js';
 
-/** Head of an endpoint's answer. */
+/** Status and headers of an endpoint's answer. */
 export type AnswerHead = {readonly status: number; readonly headers: http.IncomingHttpHeaders};
 
 export type AttemptOptions = {
@@ -18,65 +18,66 @@
 	readonly headers: http.OutgoingHttpHeaders;
 	readonly requestId: string;
 	readonly body: Buffer | null;
-	readonly isDelicate: boolean;
-	/** Silence after which the attempt is given up. */
+	readonly requiresFreshConnection: boolean;
+	/** How long the endpoint may send nothing before the attempt fails. */
 	readonly limits: AttemptLimits;
-	/** The first byte must come within this, or the request may no longer begin there; `null`: any time. */
+	/** Time within which the answer must begin; after it the request may no longer start on the endpoint's weight version. `null` if there is no bound. */
 	readonly beginWithinMs: number | null;
 	readonly signal: AbortSignal;
-	/** The head of an answer to this request arrived, including refusals. */
+	/** Called when the head of an answer to this request arrives, also if it is a refusal. */
 	onHead(head: AnswerHead): void;
-	/** The first byte of the answer arrived. */
+	/** Called when the first byte of an answer arrives that is not a refusal. */
 	onFirstByte(head: AnswerHead): void;
-	/** Whole events of a stream; `false` if the caller should be waited for. */
+	/** Called with complete events of a stream. */
 	onEvents(head: AnswerHead, events: Buffer, lastId: string | null): void;
 };
 
 /**
- * Why an attempt broke. `disconnected`: the other side ended the connection, as
- * it does when it dies. `silent`: given up here. `unreadable`: what came is not
- * the answer. `outdated`: it had not begun when its weights fell out of service.
+ * Why an attempt broke. `disconnected`: the endpoint's side closed the connection,
+ * as it does when the process exits. `silent`: a timeout expired here. `unreadable`:
+ * the bytes received are not an answer to this request. `outdated`: the request had
+ * not started when the weight version of the endpoint became outdated.
  */
-export type BreakCause = 'disconnected' | 'silent' | 'unreadable' | 'outdated';
+export type FailureCause = 'disconnected' | 'silent' | 'unreadable' | 'outdated';
 
 /**
- * How an attempt ended. `unsent` and `refused` prove that the request did not
- * run there; after `broken` it may have run.
+ * Result of an attempt. `unsent` and `refused` prove that the request did not run at
+ * the endpoint; after `broken` it may have run.
  */
 export type AttemptResult
 	= | {readonly type: 'answered'; readonly head: AnswerHead; readonly body: Buffer}
 		| {readonly type: 'streamed'; readonly head: AnswerHead}
 		| {readonly type: 'refused'; readonly head: AnswerHead; readonly body: Buffer}
-		| {readonly type: 'unsent'; readonly reason: string; /** The host is up, and nothing listens there. */ readonly isRefused: boolean}
-		| {readonly type: 'broken'; readonly cause: BreakCause; readonly reason: string; readonly stage: AnswerStage}
+		| {readonly type: 'unsent'; readonly reason: string; /** The host is reachable, but nothing listens on the port. */ readonly isRefused: boolean}
+		| {readonly type: 'broken'; readonly cause: FailureCause; readonly reason: string; readonly stage: AnswerStage}
 		| {readonly type: 'aborted'; readonly hasEvents: boolean};
 
-/** Ten crossings between regions; an opening packet that is lost is sent again only after a second. */
+/** Ten times the one-way latency between regions; a lost SYN packet is retransmitted only after 1 s. */
 const connectTimeoutMs = 300;
-/** How often it is looked whether a silent endpoint is still reported on. */
-const spareStepMs = 150;
-/** Larger answers would fill a small host's memory; callers here get some kilobytes. */
+/** Interval at which fresh reports are checked for while an endpoint sends nothing. */
+const reportCheckMs = 150;
+/** Bounds the memory that an answer takes on a small host; usual answers are a few kilobytes. */
 const maxAnswerBytes = 16 * 1024 * 1024;
 
-/** Bytes that are no answer in the protocol. */
+/** Whether the HTTP parser rejected the bytes received. */
 const isParserError = ({code = ''}: NodeJS.ErrnoException): boolean => code.startsWith('HPE_');
 
-const isRefusal = ({code}: NodeJS.ErrnoException): boolean => code === 'ECONNREFUSED';
+const isConnectionRefused = ({code}: NodeJS.ErrnoException): boolean => code === 'ECONNREFUSED';
 
 const isEventStream = ({headers}: http.IncomingMessage): boolean => (headers['content-type'] ?? '').startsWith('text/event-stream');
 
-/** Sends a request to one endpoint, and follows its answer to the end. */
+/** Sends a request to one endpoint and reads its answer to the end. */
 export const sendAttempt = async (options: AttemptOptions): Promise<AttemptResult> => new Promise(resolve => {
 	const {
-		connections, headerNames, address, method, path, headers, requestId, body, isDelicate, limits, beginWithinMs, signal, onHead, onFirstByte, onEvents,
+		connections, headerNames, address, method, path, headers, requestId, body, requiresFreshConnection, limits, beginWithinMs, signal, onHead, onFirstByte, onEvents,
 	} = options;
 	let isSettled = false;
 	let isConnected = false;
 	let hasEvents = false;
 	let answer: http.IncomingMessage | null = null;
-	let stall: NodeJS.Timeout | null = null;
-	let connecting: NodeJS.Timeout | null = null;
-	let beginning: NodeJS.Timeout | null = null;
+	let silenceTimer: NodeJS.Timeout | null = null;
+	let connectTimer: NodeJS.Timeout | null = null;
+	let beginTimer: NodeJS.Timeout | null = null;
 
 	const settle = (result: AttemptResult): void => {
 		if (isSettled) {
@@ -84,21 +85,21 @@
 		}
 
 		isSettled = true;
-		clearTimeout(stall ?? undefined);
-		clearTimeout(connecting ?? undefined);
-		clearTimeout(beginning ?? undefined);
+		clearTimeout(silenceTimer ?? undefined);
+		clearTimeout(connectTimer ?? undefined);
+		clearTimeout(beginTimer ?? undefined);
 		signal.removeEventListener('abort', onAbort);
 		resolve(result);
 	};
 
 	/**
-	 * Resets the connection: what of the request is still on its way is dropped. A
-	 * plain close would deliver it first, over a narrow link seconds later, and the
-	 * endpoint would run it for nobody, or on weights that it may no longer begin on.
+	 * Resets the connection, which drops request bytes that are still in transit. A
+	 * regular close would deliver them first, over a slow link seconds later, and the
+	 * endpoint would run the request without a caller, or on an outdated weight version.
 	 */
-	const giveUp = (result: AttemptResult): void => {
+	const abandon = (result: AttemptResult): void => {
 		if (isSettled) {
-			// Its connection may already carry another request.
+			// The connection may already be in use by another request.
 			return;
 		}
 
@@ -108,7 +109,7 @@
 	};
 
 	const onAbort = (): void => {
-		giveUp({type: 'aborted', hasEvents});
+		abandon({type: 'aborted', hasEvents});
 	};
 
 	const stage = (): AnswerStage => {
@@ -119,38 +120,38 @@
 		return answer === null ? 'waiting' : 'begun';
 	};
 
-	const fail = (cause: BreakCause, reason: string, isRefused = false): void => {
+	const fail = (cause: FailureCause, reason: string, isRefused = false): void => {
 		if (!isConnected) {
-			giveUp({type: 'unsent', reason, isRefused});
+			abandon({type: 'unsent', reason, isRefused});
 			return;
 		}
 
-		giveUp({
+		abandon({
 			type: 'broken', cause, reason, stage: stage(),
 		});
 	};
 
-	/** `sparedUntilMs`: an endpoint that its host reports on is waited for so long. */
-	const watchSilence = (stallMs: number | null, sparedUntilMs = 0): void => {
-		clearTimeout(stall ?? undefined);
-		if (stallMs === null) {
+	/** `extendedUntilMs`: until then the timeout is extended while the endpoint's host reports on it. */
+	const startSilenceTimer = (silenceMs: number | null, extendedUntilMs = 0): void => {
+		clearTimeout(silenceTimer ?? undefined);
+		if (silenceMs === null) {
 			return;
 		}
 
-		stall = setTimeout(() => {
-			const spareMs = sparedUntilMs - performance.now();
-			if (spareMs > 0 && limits.isReported()) {
-				watchSilence(Math.min(spareMs, spareStepMs), sparedUntilMs);
+		silenceTimer = setTimeout(() => {
+			const extensionMs = extendedUntilMs - performance.now();
+			if (extensionMs > 0 && limits.isReported()) {
+				startSilenceTimer(Math.min(extensionMs, reportCheckMs), extendedUntilMs);
 				return;
 			}
 
-			connections.distrust(address);
-			fail('silent', 'silent for too long');
-		}, stallMs);
+			connections.closeIdle(address);
+			fail('silent', 'the endpoint was silent for longer than the timeout');
+		}, silenceMs);
 	};
 
 	const request = connections.open({
-		address, method, path, headers, isDelicate,
+		address, method, path, headers, requiresFreshConnection,
 	});
 	request.on('socket', socket => {
 		isConnected = !socket.connecting;
@@ -160,16 +161,16 @@
 
 		socket.once('connect', () => {
 			isConnected = true;
-			clearTimeout(connecting ?? undefined);
+			clearTimeout(connectTimer ?? undefined);
 		});
-		connecting = setTimeout(() => {
+		connectTimer = setTimeout(() => {
 			fail('silent', `no connection within ${connectTimeoutMs} ms`);
 		}, connectTimeoutMs);
 	});
 	request.on('error', error => {
-		// The parser may complain of bytes behind an answer that is whole: they belong to no request.
+		// Ignores parse errors caused by bytes after a complete answer; those belong to no request.
 		if (answer?.complete !== true) {
-			fail(isParserError(error) ? 'unreadable' : 'disconnected', error.message, isRefusal(error));
+			fail(isParserError(error) ? 'unreadable' : 'disconnected', error.message, isConnectionRefused(error));
 		}
 	});
 	request.on('response', response => {
@@ -177,7 +178,7 @@
 		const head: AnswerHead = {status: response.statusCode!, headers: response.headers};
 		const echoed = response.headers[headerNames.requestId];
 		if (echoed === undefined ? head.status < 300 : echoed !== requestId) {
-			// An answer that came late or twice stands where this request's answer is due.
+			// A late or duplicate answer to another request arrived in place of this request's answer.
 			fail('unreadable', `the answer is to request ${String(echoed)}`);
 			return;
 		}
@@ -191,7 +192,7 @@
 		if (!isRefused && head.status === 200 && isEventStream(response)) {
 			followEvents(response, head);
 		} else {
-			collect(response, head, isRefused);
+			collectBody(response, head, isRefused);
 		}
 	});
 
@@ -201,27 +202,27 @@
 			const events = splitter.push(part);
 			if (events !== null && !isSettled) {
 				hasEvents = true;
-				clearTimeout(beginning ?? undefined);
-				watchSilence(limits.pauseMs);
+				clearTimeout(beginTimer ?? undefined);
+				startSilenceTimer(limits.pauseMs);
 				onEvents(head, events, splitter.lastId());
 			}
 		});
 		response.on('end', () => {
-			if (response.complete && splitter.restBytes() === 0) {
+			if (response.complete && splitter.pendingBytes() === 0) {
 				settle({type: 'streamed', head});
 			} else {
-				fail('disconnected', 'the stream ended within an event');
+				fail('disconnected', 'the stream ended in the middle of an event');
 			}
 		});
 		response.on('error', error => {
 			fail('disconnected', error.message);
 		});
 		response.on('close', () => {
-			fail('disconnected', 'the stream was cut');
+			fail('disconnected', 'the stream was cut off');
 		});
 	};
 
-	const collect = (response: http.IncomingMessage, head: AnswerHead, isRefused: boolean): void => {
+	const collectBody = (response: http.IncomingMessage, head: AnswerHead, isRefused: boolean): void => {
 		const parts: Buffer[] = [];
 		let sizeBytes = 0;
 		response.on('data', (part: Buffer) => {
@@ -246,10 +247,10 @@
 		});
 	};
 
-	watchSilence(limits.firstByteMs, performance.now() + (limits.longestFirstByteMs ?? 0));
+	startSilenceTimer(limits.firstByteMs, performance.now() + (limits.maxFirstByteMs ?? 0));
 	if (beginWithinMs !== null) {
-		beginning = setTimeout(() => {
-			fail('outdated', 'it may no longer begin on these weights');
+		beginTimer = setTimeout(() => {
+			fail('outdated', 'the request may no longer start on the weight version of the endpoint');
 		}, beginWithinMs);
 	}
 
--- a/packages/gateway/src/entry/call-context.ts
+++ b/packages/gateway/src/entry/call-context.ts
@@ -8,14 +8,14 @@
 import type {RequestQuarantine} from '../quarantine/request-quarantine.js';
 import type {EndpointConnections} from './endpoint-connections.js';
 import type {EndpointView} from './endpoint-view.js';
-import type {WaitingRoom} from './waiting-room.js';
+import type {WaitQueue} from './wait-queue.js';
 
-/** What every call of an entry uses. */
+/** Dependencies shared by all calls of an entry. */
 export type CallContext = {
 	readonly protocol: RequestProtocol;
 	readonly connections: EndpointConnections;
 	readonly view: EndpointView;
-	readonly room: WaitingRoom;
+	readonly waitQueue: WaitQueue;
 	readonly quarantine: RequestQuarantine;
 	readonly limits: EndpointLimits;
 	readonly zoneId: string;
@@ -23,22 +23,22 @@
 	readonly logger: Logger;
 	readonly metrics: GatewayMetrics;
 	allowance(serviceName: string): RetryAllowance;
-	/** Requests that this entry sends to a service's endpoints. */
-	sending(serviceName: string): ArrivalRate;
-	/** What callers of a service ask for. */
+	/** Rate of the requests that this entry sends to a service's endpoints. */
+	sendRate(serviceName: string): ArrivalRate;
+	/** Latency objectives of the recent requests to a service. */
 	objectives(serviceName: string): ObjectiveMix;
-	/** When engines of a service last had a place to spare. */
-	spareRoom(serviceName: string): SpareRoom;
-	/** Entries that serve, this one included. */
+	/** When engines of a service last had a spare slot. */
+	spareCapacity(serviceName: string): SpareRoom;
+	/** Number of serving entries, including this one. */
 	entryCount(): number;
-	/** This entry's part of the further attempts that all entries share. */
+	/** This entry's part of the retry reserve that all entries share. */
 	retryReserve(): number;
-	/** From when on which version of a model's weights must be begun on. */
+	/** From when on requests must start on which version of a model's weights. */
 	dues(model: string): readonly VersionDue[];
-	/** Until this process cuts what still runs; infinite while it does not leave. */
-	leftMs(): number;
+	/** Time until this process aborts the requests that still run; infinite unless it is shutting down. */
+	remainingGraceMs(): number;
 	holdsLease(): boolean;
-	/** When a caller should come back while the lease is not held. */
+	/** Retry delay for callers while the lease is not held. */
 	lostCoreRetryMs(): number;
 	nowMs(): number;
 };
--- a/packages/gateway/src/entry/call-headers.ts
+++ b/packages/gateway/src/entry/call-headers.ts
@@ -8,7 +8,7 @@
 import {requestHeaders} from './forwarded-headers.js';
 import type {Call} from './gateway-call.js';
 
-/** From this long before a version is due it is asked for by name. */
+/** How long before a version is due requests name the version that they expect. */
 const dueSoonMs = 500;
 
 const callUrgency = ({objectives, nowMs}: CallContext, call: Call, profile: EngineProfile): number => {
@@ -21,19 +21,19 @@
 
 const noDues: readonly VersionDue[] = [];
 
-export const duesOf = ({dues}: CallContext, {service: {engine}}: Call): readonly VersionDue[] => engine === null ? noDues : dues(engine.model);
+export const versionDuesOf = ({dues}: CallContext, {service: {engine}}: Call): readonly VersionDue[] => engine === null ? noDues : dues(engine.model);
 
-/** The version that the chosen engine is known to hold. */
-export const heldVersion = ({nowMs}: CallContext, {service: {engine}}: Call, candidate: Candidate): number | null => engine === null ? null : versionOf(candidate, engine, nowMs());
+/** The version that the selected engine is known to have loaded. */
+export const loadedVersion = ({nowMs}: CallContext, {service: {engine}}: Call, candidate: Candidate): number | null => engine === null ? null : versionOf(candidate, engine, nowMs());
 
-/** The version to ask for by name: only once older ones may no longer be begun on, since an engine may switch while a request is on its way. */
-export const askedVersion = (context: CallContext, call: Call, candidate: Candidate): number | null => {
+/** The version to name in the request; only set once requests may no longer start on older versions, because an engine may switch versions while a request is in transit. */
+export const requestedVersion = (context: CallContext, call: Call, candidate: Candidate): number | null => {
 	const now = context.nowMs();
-	const isDue = duesOf(context, call).some(({dueAtMs}) => dueAtMs < now + dueSoonMs);
-	return isDue ? heldVersion(context, call, candidate) : null;
+	const isDue = versionDuesOf(context, call).some(({dueAtMs}) => dueAtMs < now + dueSoonMs);
+	return isDue ? loadedVersion(context, call, candidate) : null;
 };
 
-/** The headers that a request takes to the chosen endpoint. */
+/** The headers sent to the selected endpoint. */
 export const endpointHeaders = (context: CallContext, call: Call, progress: CallProgress, candidate: Candidate): http.OutgoingHttpHeaders => {
 	const {protocol: {headers: names}, nowMs} = context;
 	const {announcement} = candidate;
@@ -48,9 +48,9 @@
 		headers[names.urgency] = String(callUrgency(context, call, call.service.engine));
 	}
 
-	const asked = askedVersion(context, call, candidate);
-	if (asked !== null) {
-		headers[names.expectedVersion] = String(asked);
+	const version = requestedVersion(context, call, candidate);
+	if (version !== null) {
+		headers[names.expectedVersion] = String(version);
 	}
 
 	if (progress.lastEventId !== null) {
--- a/packages/gateway/src/entry/call-progress.ts
+++ b/packages/gateway/src/entry/call-progress.ts
@@ -1,15 +1,15 @@
-/** What is known of a call after the attempts so far. */
+/** State of a call after the attempts so far. */
 export type CallProgress = {
 	readonly triedIds: Set<string>;
-	/** Endpoints that the request was sent to. */
+	/** Number of endpoints that the request was sent to. */
 	sent: number;
-	/** Endpoints that could not be connected to. */
+	/** Number of failed connection attempts. */
 	unreachable: number;
 	/** Whether the request may have run somewhere. */
 	mayHaveRun: boolean;
 	lastEventId: string | null;
 	hasEvents: boolean;
-	/** When the first byte came, and when it was expected, from the arrival of the request. */
+	/** When the first byte arrived and when it was expected, relative to the arrival of the request. */
 	firstByteMs: number | null;
 	expectedMs: number | null;
 	lastReason: string;
--- a/packages/gateway/src/entry/endpoint-connections.ts
+++ b/packages/gateway/src/entry/endpoint-connections.ts
@@ -8,38 +8,38 @@
 	readonly method: string;
 	readonly path: string;
 	readonly headers: http.OutgoingHttpHeaders;
-	/** Must not be sent twice: only a connection that was used a moment ago will do, or a new one. */
-	readonly isDelicate: boolean;
+	/** For requests that must not be sent twice: uses a new connection or one that was idle only briefly. */
+	readonly requiresFreshConnection: boolean;
 };
 
-/** Connections to endpoints, kept for further requests. */
+/** Pool of connections to endpoints. */
 export type EndpointConnections = {
 	open(options: OpenOptions): http.ClientRequest;
-	/** A connection to the address was silent: those that lie idle beside it may be as well. */
-	distrust(address: string): void;
+	/** Closes the idle connections to an address; called after a timeout there, because those connections may be dead as well. */
+	closeIdle(address: string): void;
 	close(): void;
 };
 
-/** Endpoints close idle connections after whole seconds; one this young is not about to be closed. */
-const delicateIdleMs = 700;
+/** Idle timeouts of endpoints are whole seconds, so a connection that was idle for less than this is not about to be closed. */
+const maxFreshIdleMs = 700;
 const maxAgeMs = 60_000;
-/** Below the shortest idle timeout that endpoints are known to have. */
+/** Less than the shortest known idle timeout of endpoints. */
 const idleMs = 4000;
 
 export const createEndpointConnections = (): EndpointConnections => {
 	const pool = createPool({maxAgeMs, idleMs, maxIdle: 64});
 	return {
-		open({address, method, path, headers, isDelicate}) {
+		open({address, method, path, headers, requiresFreshConnection}) {
 			const {host, port} = parseAddress(address);
-			if (isDelicate) {
-				closeStaleConnections(pool, {host, port}, delicateIdleMs);
+			if (requiresFreshConnection) {
+				closeStaleConnections(pool, {host, port}, maxFreshIdleMs);
 			}
 
 			return http.request({
 				host, port, method, path, headers, agent: pool,
 			});
 		},
-		distrust(address) {
+		closeIdle(address) {
 			closeIdleConnections(pool, parseAddress(address));
 		},
 		close() {
--- a/packages/gateway/src/entry/endpoint-view.ts
+++ b/packages/gateway/src/entry/endpoint-view.ts
@@ -4,34 +4,34 @@
 } from '@bitternpaddle/coordination';
 import type {LoadReport} from '../load/load-report.js';
 
-/** The endpoints of all services, as this entry sees them. */
+/** The endpoints of all services that are known to this entry. */
 export type EndpointView = {
-	hear(announcements: readonly AgedAnnouncement[], nowMs: number): void;
-	/** An agent told of the engine at an address. */
-	hearReport(heard: LoadReport, nowMs: number): void;
-	/** How much longer than at its best the way from the endpoint's host takes. */
+	recordAnnouncements(announcements: readonly AgedAnnouncement[], nowMs: number): void;
+	/** Records an agent's load report on the engine at an address. */
+	recordReport(report: LoadReport, nowMs: number): void;
+	/** Current delay of the path from the endpoint's host, above the lowest delay observed. */
 	pathDelayMs(address: string): number;
-	/** An endpoint answered that another one runs at its address, not the start that is known here. */
-	end(id: string): void;
-	/** Those that may be sent something. */
+	/** Removes an endpoint whose address answered that a different endpoint or a later start runs there. */
+	markReplaced(id: string): void;
+	/** Endpoints that requests may be sent to. */
 	candidates(serviceName: string, nowMs: number): Candidate[];
 	prune(nowMs: number): void;
 };
 
 /**
- * An endpoint that has announced nothing for this long is used no more, unless
- * its own host still reports on it: it may be cut off from the core alone.
- * Announcements come about every second, and the core tells of them every two to five.
+ * Endpoints without an announcement for this long are no longer used, unless their own
+ * host still reports on them: they may be disconnected from the core only.
+ * Endpoints announce themselves about every second; the core forwards that every 2 to 5 s.
  */
 const silentMs = 7000;
 
-type Seen = Candidate & {announcement: Announcement; readonly firstHeardAtMs: number; heardAtMs: number; isUnreachable: boolean};
+type TrackedEndpoint = Candidate & {announcement: Announcement; readonly firstAnnouncedAtMs: number; lastAnnouncedAtMs: number; isUnreachable: boolean};
 
-/** Endpoints by what they are looked up by; a fleet's reports and requests look hundreds of times a second. */
-type Lookup = {readonly byAddress: ReadonlyMap<string, readonly Seen[]>; readonly byService: ReadonlyMap<string, readonly Seen[]>};
+/** Indexes of the endpoints; reports and requests look them up hundreds of times per second. */
+type Lookup = {readonly byAddress: ReadonlyMap<string, readonly TrackedEndpoint[]>; readonly byService: ReadonlyMap<string, readonly TrackedEndpoint[]>};
 
-const groupBy = (endpoints: Iterable<Seen>, keyOf: (announcement: Announcement) => string): Map<string, Seen[]> => {
-	const groups = new Map<string, Seen[]>();
+const groupBy = (endpoints: Iterable<TrackedEndpoint>, keyOf: (announcement: Announcement) => string): Map<string, TrackedEndpoint[]> => {
+	const groups = new Map<string, TrackedEndpoint[]>();
 	for (const endpoint of endpoints) {
 		const key = keyOf(endpoint.announcement);
 		const group = groups.get(key);
@@ -45,53 +45,54 @@
 	return groups;
 };
 
-const noEndpoints: readonly Seen[] = [];
+const noEndpoints: readonly TrackedEndpoint[] = [];
 
-/** An endpoint that still announces itself is heard of more often than this, also by way of the core. */
-const replacedMs = 5000;
+/** Running endpoints are announced more often than this, also when forwarded by the core. */
+const replacedSilenceMs = 5000;
 
 /**
- * Whether `other` runs at the address that both name. The later start does, unless
- * it has fallen silent while the other goes on: then it was the late announcement
- * of a start that had ended, unknown here until then.
+ * Whether `other` is the endpoint that runs at the address of both. That is the one
+ * announced later, unless its announcements stopped while those of the other continue:
+ * then it was a delayed announcement of a start that had already exited and had not
+ * been known here before.
  */
-const replaces = (other: Seen, {firstHeardAtMs, heardAtMs}: Seen): boolean => other.firstHeardAtMs > firstHeardAtMs
-	? heardAtMs - other.heardAtMs < replacedMs
-	: other.heardAtMs - heardAtMs >= replacedMs;
+const replaces = (other: TrackedEndpoint, {firstAnnouncedAtMs, lastAnnouncedAtMs}: TrackedEndpoint): boolean => other.firstAnnouncedAtMs > firstAnnouncedAtMs
+	? lastAnnouncedAtMs - other.lastAnnouncedAtMs < replacedSilenceMs
+	: other.lastAnnouncedAtMs - lastAnnouncedAtMs >= replacedSilenceMs;
 
 export type EndpointViewOptions = {
-	/** Another start of an endpoint, or another endpoint, took over an address. */
+	/** Called when another start of an endpoint, or another endpoint, takes over an address. */
 	onRestart(address: string): void;
 };
 
 export const createEndpointView = ({onRestart}: EndpointViewOptions): EndpointView => {
 	const registry = createRegistry();
-	const seen = new Map<string, Seen>();
-	/** `null` once an endpoint has come, gone or moved. */
+	const tracked = new Map<string, TrackedEndpoint>();
+	/** `null` after an endpoint was added, removed or moved. */
 	let lookup: Lookup | null = null;
 
 	const current = (): Lookup => {
-		lookup ??= {byAddress: groupBy(seen.values(), ({address}) => address), byService: groupBy(seen.values(), ({serviceName}) => serviceName)};
+		lookup ??= {byAddress: groupBy(tracked.values(), ({address}) => address), byService: groupBy(tracked.values(), ({serviceName}) => serviceName)};
 		return lookup;
 	};
 
 	const remove = (id: string): void => {
-		if (seen.delete(id)) {
+		if (tracked.delete(id)) {
 			lookup = null;
 		}
 	};
 
-	const refresh = (id: string): void => {
+	const updateEndpoint = (id: string): void => {
 		const entry = registry.entries.get(id);
 		if (entry === undefined) {
 			return;
 		}
 
 		const {announcement, heardAtMs} = entry;
-		const known = seen.get(id);
+		const known = tracked.get(id);
 		if (announcement.state === 'gone') {
 			if (known !== undefined) {
-				// Calls that are under way there must see that it leaves.
+				// Calls in flight at the endpoint must see that it is leaving.
 				known.announcement = announcement;
 			}
 
@@ -99,11 +100,11 @@
 			return;
 		}
 
-		// A later start of the endpoint has nothing of what was known of the one before: neither its load nor its failures.
+		// A later start of the endpoint does not inherit the load and failures of the previous one.
 		if (known === undefined || isLaterStart(known.announcement, announcement)) {
 			const isRestart = (current().byAddress.get(announcement.address) ?? noEndpoints).length > 0;
-			seen.set(id, {
-				announcement, load: createEndpointLoad(), health: createEndpointHealth(), firstHeardAtMs: heardAtMs, heardAtMs, isUnreachable: false,
+			tracked.set(id, {
+				announcement, load: createEndpointLoad(), health: createEndpointHealth(), firstAnnouncedAtMs: heardAtMs, lastAnnouncedAtMs: heardAtMs, isUnreachable: false,
 			});
 			lookup = null;
 			if (isRestart) {
@@ -118,28 +119,28 @@
 		}
 
 		known.announcement = announcement;
-		known.heardAtMs = heardAtMs;
+		known.lastAnnouncedAtMs = heardAtMs;
 	};
 
-	const isReplaced = (endpoint: Seen): boolean => {
+	const isReplaced = (endpoint: TrackedEndpoint): boolean => {
 		const atAddress = current().byAddress.get(endpoint.announcement.address) ?? noEndpoints;
 		return atAddress.length > 1 && atAddress.some(other => other !== endpoint && replaces(other, endpoint));
 	};
 
-	const isUsable = (endpoint: Seen, nowMs: number): boolean => {
-		const {load, heardAtMs, isUnreachable} = endpoint;
-		return !isUnreachable && (nowMs - heardAtMs < silentMs || hasFreshReport(load, nowMs)) && !isReplaced(endpoint);
+	const isUsable = (endpoint: TrackedEndpoint, nowMs: number): boolean => {
+		const {load, lastAnnouncedAtMs, isUnreachable} = endpoint;
+		return !isUnreachable && (nowMs - lastAnnouncedAtMs < silentMs || hasFreshReport(load, nowMs)) && !isReplaced(endpoint);
 	};
 
 	return {
-		hear(announcements, nowMs) {
+		recordAnnouncements(announcements, nowMs) {
 			for (const announcement of announcements) {
 				if (hearAnnounced(registry, announcement, nowMs)) {
-					refresh(announcement.id);
+					updateEndpoint(announcement.id);
 				}
 			}
 		},
-		hearReport({endpointAddress, report, way}, nowMs) {
+		recordReport({endpointAddress, report, way}, nowMs) {
 			for (const endpoint of current().byAddress.get(endpointAddress) ?? noEndpoints) {
 				const {load} = endpoint;
 				if (way.type === 'direct') {
@@ -154,14 +155,14 @@
 			}
 		},
 		pathDelayMs: address => current().byAddress.get(address)?.[0]?.load.path.delayMs ?? 0,
-		end(id) {
+		markReplaced(id) {
 			withdraw(registry, id);
 			remove(id);
 		},
 		candidates: (serviceName, nowMs) => (current().byService.get(serviceName) ?? noEndpoints).filter(endpoint => isUsable(endpoint, nowMs)),
 		prune(nowMs) {
 			pruneRegistry(registry, nowMs);
-			for (const id of seen.keys()) {
+			for (const id of tracked.keys()) {
 				if (!registry.entries.has(id)) {
 					remove(id);
 				}
--- a/packages/gateway/src/entry/entry-lease.ts
+++ b/packages/gateway/src/entry/entry-lease.ts
@@ -4,85 +4,85 @@
 import type {Logger} from '@bitternpaddle/transport';
 
 export type EntryLeaseOptions = {
-	/** A revoked key is dead everywhere within this. */
+	/** Time within which a revoked key is rejected by every entry. */
 	readonly revocationMs: number;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly logger: Logger;
 	/** Number of the configuration that this entry holds. */
 	configurationNumber(): number;
-	/** Whether any core host answers. */
+	/** Whether any core host responds. */
 	reachesCore(): boolean;
-	/** Asks the core hosts out of turn. */
-	askCore(): void;
+	/** Requests an update from the core hosts immediately. */
+	refreshFromCore(): void;
 };
 
-/** What this entry may trust of the keys and routes that it knows. */
+/** Determines whether the keys and routes that this entry holds are confirmed to be in force. */
 export type EntryLease = {
-	/** Whether all that is in force is surely known. */
+	/** Whether the configuration held here is confirmed to be in force. */
 	holds(): boolean;
-	/** Whether it ever was since the start. */
+	/** Whether the lease was held at any time since the start of the process. */
 	hasHeld(): boolean;
-	/** A core host held the configuration `number`, and surely knew all, at `freshAtMs` by this entry's clock. */
-	hear(renewal: LeaseRenewal): void;
-	/** The configuration that is held here has changed. */
-	settle(): void;
-	/** When a caller should come back while the lease is not held. */
+	/** Records that a core host held configuration `number`, confirmed as the newest, at `freshAtMs` by this entry's clock. */
+	recordRenewal(renewal: LeaseRenewal): void;
+	/** Must be called when the configuration held here has changed. */
+	applyRenewals(): void;
+	/** Retry delay for callers while the lease is not held. */
 	retryMs(): number;
-	/** Since when all that is in force is surely known. */
+	/** Time since the configuration was last confirmed to be in force. */
 	ageMs(): number;
 };
 
 export type LeaseRenewal = {readonly number: number; readonly freshAtMs: number};
 
-/** An entry that reaches no core host is cut off by itself: its callers find another one at once. */
-const cutOffRetryMs = 100;
-/** Core hosts that answer and do not know the newest state elect a leader: that takes a second or so, and elsewhere it is no better. */
+/** An entry that reaches no core host is most likely the only one affected: its callers can retry at another entry at once. */
+const isolatedRetryMs = 100;
+/** Core hosts that respond without a confirmed state are electing a leader; that takes about 1 s and affects all entries alike. */
 const coreRetryMs = 1200;
 /**
- * An entry that has not held the lease since its start most likely starts with
- * the whole system, after a loss of power: a leader takes a second, the weights of
- * empty engines three. Callers that come back after half a second find nobody
- * either, and have no further try; after this they find engines.
+ * An entry that has not held the lease since its start is most likely starting together
+ * with the whole system after a power loss: electing a leader takes 1 s, loading the
+ * weights of empty engines 3 s. Callers that retry after 0.5 s would be refused again
+ * and have no further retry; after this delay engines are available.
  */
 const startRetryMs = 2000;
-/** How often the core is asked out of turn while the lease is not held: after a suspension one answer renews it. */
-const refreshMs = 250;
-/** Answers of core hosts that wait for a configuration; more than a handful come only while none can be fetched. */
+/** Minimum interval between immediate requests to the core while the lease is not held; after a suspension of the process, one response renews it. */
+const refreshIntervalMs = 250;
+/** Renewals that are kept until their configuration arrives; more than a few accumulate only while no configuration can be fetched. */
 const maxRenewals = 32;
 
 export const createEntryLease = (options: EntryLeaseOptions): EntryLease => {
-	const {clock, random, logger, configurationNumber, reachesCore, askCore} = options;
+	const {clock, random, logger, configurationNumber, reachesCore, refreshFromCore} = options;
 	const lease = createKeyLease(options.revocationMs);
 	let renewals: LeaseRenewal[] = [];
-	let held = false;
+	let wasHeld = false;
 	let hasHeld = false;
-	let askedAtMs = Number.NEGATIVE_INFINITY;
+	let refreshedAtMs = Number.NEGATIVE_INFINITY;
 
 	const ageMs = (): number => clock.nowMs() - lease.freshAtMs;
 
 	const holds = (): boolean => {
 		const nowMs = clock.nowMs();
 		const holdsNow = holdsKeyLease(lease, nowMs);
-		if (holdsNow !== held) {
-			held = holdsNow;
+		if (holdsNow !== wasHeld) {
+			wasHeld = holdsNow;
 			hasHeld ||= holdsNow;
 			logger.event(holdsNow ? 'BP4006' : 'BP4005', {ageMs: Math.round(ageMs())});
 		}
 
-		if (!holdsNow && nowMs - askedAtMs > refreshMs) {
-			askedAtMs = nowMs;
-			askCore();
+		if (!holdsNow && nowMs - refreshedAtMs > refreshIntervalMs) {
+			refreshedAtMs = nowMs;
+			refreshFromCore();
 		}
 
 		return holdsNow;
 	};
 
 	/**
-	 * What a core host held counts once this entry holds it too: a configuration
-	 * that it could not read or has not got yet must not renew the lease.
+	 * Applies a renewal only once this entry holds the configuration that the core host
+	 * held: one that could not be decoded or has not arrived yet must not renew the lease.
 	 */
-	const settle = (): void => {
+	const applyRenewals = (): void => {
 		const number = configurationNumber();
 		for (const renewal of renewals) {
 			if (renewal.number <= number) {
@@ -95,18 +95,18 @@
 	};
 
 	return {
-		holds, settle, ageMs,
+		holds, applyRenewals, ageMs,
 		hasHeld: () => hasHeld,
-		hear(renewal) {
+		recordRenewal(renewal) {
 			renewals.push(renewal);
-			settle();
+			applyRenewals();
 		},
 		retryMs() {
 			if (!hasHeld) {
 				return startRetryMs;
 			}
 
-			return reachesCore() ? coreRetryMs + random.between(0, coreRetryMs / 2) : cutOffRetryMs;
+			return reachesCore() ? coreRetryMs + random.between(0, coreRetryMs / 2) : isolatedRetryMs;
 		},
 	};
 };
--- a/packages/gateway/src/entry/entry-node.ts
+++ b/packages/gateway/src/entry/entry-node.ts
@@ -12,40 +12,40 @@
 import {createEndpointLimits} from '../limits/endpoint-limits.js';
 import {createRequestQuarantine} from '../quarantine/request-quarantine.js';
 import {createLoadListener} from '../load/load-listener.js';
-import {createLoadRelay, turnMs} from '../load/load-relay.js';
+import {createLoadRelay, relayIntervalMs} from '../load/load-relay.js';
 import {noRelay, planRelay, type RelayPlan} from '../load/relay-plan.js';
-import {createByName} from './by-name.js';
+import {createLazyMap} from './lazy-map.js';
 import {createEndpointConnections} from './endpoint-connections.js';
 import {createEndpointView} from './endpoint-view.js';
 import {createEntryLease} from './entry-lease.js';
 import {createFrontServer} from './front-server.js';
-import {createWaitingRoom} from './waiting-room.js';
+import {createWaitQueue} from './wait-queue.js';
 import type {CallContext} from './call-context.js';
 import {runCall} from './run-call.js';
 import {serveRequest} from './serve-request.js';
 
-/** Bounds that the deployment sets. */
+/** Time bounds and retry limits from the deployment's settings. */
 export type EntryBounds = {
-	/** A revoked key is dead everywhere within this. */
+	/** Time within which a revoked key is rejected by every entry. */
 	readonly revocationMs: number;
-	/** No request begins on older weights later than this after new ones were named. */
+	/** Time after the announcement of a weight version from which no request starts on an older one. */
 	readonly versionDueMs: number;
 	readonly retryShare: number;
 	readonly retryWindowMs: number;
-	/** Further attempts for one service in a window that all entries share, beside the share. */
+	/** Retries per service and window, shared by all entries, in addition to `retryShare`. */
 	readonly retryReserve: number;
-	/** Between the order to stop and the end of the process. */
+	/** Time between the stop signal and the exit of the process. */
 	readonly graceMs: number;
 };
 
 export type EntryNodeOptions = {
-	/** Where other processes of the system reach this one. */
+	/** Address at which other processes of the system reach this one. */
 	readonly selfAddress: string;
 	readonly zoneId: string;
 	readonly regionId: string;
-	/** Where callers connect to. */
+	/** Address for callers. */
 	readonly listen: string;
-	/** Where readiness is asked for. */
+	/** Address for readiness probes. */
 	readonly readinessListen: string;
 	seeds(): readonly string[];
 	readonly protocol: RequestProtocol;
@@ -53,7 +53,7 @@
 	readonly clock: Clock;
 	readonly logger: Logger;
 	readonly metrics: GatewayMetrics;
-	/** Seed of the choices that are left to chance. */
+	/** Seed of the random number generator. */
 	readonly randomSeed: number;
 };
 
@@ -61,30 +61,30 @@
 	readonly address: string;
 	readonly readinessAddress: string;
 	isReady(): boolean;
-	/** Graceful: not ready at once, serves on for most of the grace, then ends. */
+	/** Shuts down gracefully: reports not ready at once, serves for part of the grace period, then closes. */
 	stop(): Promise<void>;
 	close(): void;
 };
 
 const pruneMs = 5000;
 /**
- * Share of the grace in which callers may still use open connections. Later
- * requests would be cut at its end: the longest streams take half of it.
+ * Share of the grace period in which callers may still use open connections. Later
+ * requests could be cut off when it ends, because the longest streams take half of it.
  */
 const servingShare = 0.42;
 /**
- * New callers still come for as long as a balancer takes to notice: it asks every
- * second, and goes by two answers. Until then they must find the entry listening,
- * also where no connection is open when it is told to end.
+ * Time that a load balancer takes to stop sending new callers: it probes every second
+ * and requires two failed probes. The entry must keep listening until then, even if no
+ * connection is open when it receives the stop signal.
  */
-const noticeMs = 2500;
-/** Before the end of the grace whatever still runs is cut, so that the process ends by itself. */
-const lastMomentsMs = 250;
+const balancerDetectionMs = 2500;
+/** How long before the end of the grace period running requests are aborted, so that the process exits by itself. */
+const shutdownReserveMs = 250;
 const idlePollMs = 50;
-/** For all but the lease: the time of day may step, and everything would look late or overdue. */
+/** Clock for everything except the lease; steps of the wall clock would make reports and requests look late or overdue. */
 const steadyNowMs = (): number => performance.now();
 
-/** One entry: callers on one side, endpoints on the other. */
+/** Creates an entry: receives requests from callers and forwards them to endpoints. */
 export const createEntryNode = async (options: EntryNodeOptions): Promise<EntryNode> => {
 	const {
 		selfAddress, zoneId, regionId, seeds, protocol, bounds, clock, logger, metrics,
@@ -106,52 +106,52 @@
 			listener.datagrams.send(data, addresses);
 		},
 	});
-	const view = createEndpointView({onRestart: quarantine.noteRestarted});
+	const view = createEndpointView({onRestart: quarantine.recordRestart});
 	const connections = createEndpointConnections();
-	const room = createWaitingRoom();
+	const waitQueue = createWaitQueue();
 	const versions = createWantedVersions({dueMs: bounds.versionDueMs, startedAtMs: steadyNowMs()});
-	const patience = createByName(createCallerPatience);
-	const sending = createByName(createArrivalRate);
-	const objectives = createByName(createObjectiveMix);
-	const spareRoom = createByName(createSpareRoom);
-	const allowance = createByName(() => createRetryAllowance({windowMs: bounds.retryWindowMs, share: bounds.retryShare}));
+	const patience = createLazyMap(createCallerPatience);
+	const sendRate = createLazyMap(createArrivalRate);
+	const objectives = createLazyMap(createObjectiveMix);
+	const spareCapacity = createLazyMap(createSpareRoom);
+	const allowance = createLazyMap(() => createRetryAllowance({windowMs: bounds.retryWindowMs, share: bounds.retryShare}));
 	let entryCount = 1;
 	let relayPlan: RelayPlan = noRelay;
 	let isLeaving = false;
 	let isClosed = false;
-	let endsAtMs = Number.POSITIVE_INFINITY;
+	let exitsAtMs = Number.POSITIVE_INFINITY;
 	let wasReady = false;
 
 	const configuration = createConfigurationHolder({
 		protocol, logger,
 		onChange(table) {
 			front.setIdleTimeout(table.configuration.limits.idleTimeoutMs);
-			// Routes come and go with each configuration.
-			patience.keepOnly(table.configuration.routes.map(({name}) => name));
+			// Each configuration may add and remove routes.
+			patience.retainOnly(table.configuration.routes.map(({name}) => name));
 		},
 	});
 
 	const lease = createEntryLease({
 		revocationMs: bounds.revocationMs, clock, random, logger, configurationNumber: configuration.number,
 		reachesCore: () => client.liveAddresses().length > 0,
-		askCore() {
+		refreshFromCore() {
 			client.refresh();
 		},
 	});
 
 	const context: CallContext = {
-		protocol, connections, view, room, quarantine, limits, zoneId, random, logger, metrics, holdsLease: lease.holds, lostCoreRetryMs: lease.retryMs,
-		allowance: allowance.of, sending: sending.of, objectives: objectives.of, spareRoom: spareRoom.of,
+		protocol, connections, view, waitQueue, quarantine, limits, zoneId, random, logger, metrics, holdsLease: lease.holds, lostCoreRetryMs: lease.retryMs,
+		allowance: allowance.of, sendRate: sendRate.of, objectives: objectives.of, spareCapacity: spareCapacity.of,
 		entryCount: () => entryCount,
-		leftMs: () => endsAtMs - lastMomentsMs - steadyNowMs(),
+		remainingGraceMs: () => exitsAtMs - shutdownReserveMs - steadyNowMs(),
 		nowMs: steadyNowMs,
 		retryReserve: () => bounds.retryReserve / entryCount,
 		dues: versions.dues,
 	};
-	const waitWhile = async (isMissing: () => boolean, mostMs: number): Promise<void> => {
-		const untilMs = steadyNowMs() + mostMs;
+	const waitWhile = async (isMissing: () => boolean, maxMs: number): Promise<void> => {
+		const untilMs = steadyNowMs() + maxMs;
 		while (isMissing() && steadyNowMs() < untilMs) {
-			await room.nextLook();
+			await waitQueue.nextCheck();
 		}
 	};
 
@@ -161,8 +161,8 @@
 			patience: patience.of,
 			protocol, random, logger, metrics, holdsLease: lease.holds, lostCoreRetryMs: lease.retryMs, table: configuration.table, isLeaving: () => isLeaving, nowMs: steadyNowMs,
 			run: async call => runCall(context, call),
-			awaitConfiguration: async mostMs => waitWhile(() => configuration.table() === null, mostMs),
-			awaitLease: async mostMs => waitWhile(() => !lease.hasHeld() && !lease.holds(), mostMs),
+			awaitConfiguration: async maxMs => waitWhile(() => configuration.table() === null, maxMs),
+			awaitLease: async maxMs => waitWhile(() => !lease.hasHeld() && !lease.holds(), maxMs),
 		}, request, response, connection),
 		onError(error) {
 			logger.event('BP9003', {message: error.stack ?? error.message});
@@ -172,11 +172,11 @@
 		self, seeds, clock, logger, configurationNumber: configuration.number, wantsConfiguration: () => true,
 		onConfiguration(document) {
 			configuration.take(document);
-			lease.settle();
+			lease.applyRenewals();
 		},
 		onResult(result, askedAtMs) {
 			const nowMs = steadyNowMs();
-			view.hear(result.announcements, nowMs);
+			view.recordAnnouncements(result.announcements, nowMs);
 			versions.hear(result, nowMs);
 			if (result.roster !== null) {
 				entryCount = Math.max(1, result.roster.entryCount);
@@ -186,22 +186,22 @@
 			}
 
 			if (result.freshAgeMs !== null) {
-				lease.hear({number: result.configurationNumber, freshAtMs: askedAtMs - result.freshAgeMs});
+				lease.recordRenewal({number: result.configurationNumber, freshAtMs: askedAtMs - result.freshAgeMs});
 			}
 		},
 	});
 	const listener = await createLoadListener({
 		listen: selfAddress,
-		onReport(heard) {
-			view.hearReport(heard, steadyNowMs());
-			if (heard.report === null) {
-				quarantine.noteEnded(heard.endpointAddress);
+		onReport(loadReport) {
+			view.recordReport(loadReport, steadyNowMs());
+			if (loadReport.report === null) {
+				quarantine.recordExit(loadReport.endpointAddress);
 			}
 		},
 		onMessage(message) {
-			relay.hear(message, steadyNowMs());
+			relay.receive(message, steadyNowMs());
 		},
-		onOther: data => quarantine.hear(data) || limits.hear(data),
+		onOtherDatagram: data => quarantine.receive(data) || limits.receive(data),
 		onError(error) {
 			logger.event('BP9003', {message: error.message});
 		},
@@ -209,8 +209,8 @@
 
 	const relay = createLoadRelay({plan: () => relayPlan, delayMs: view.pathDelayMs, send: listener.send});
 	const relaying = setInterval(() => {
-		relay.tell(steadyNowMs());
-	}, turnMs);
+		relay.tick(steadyNowMs());
+	}, relayIntervalMs);
 
 	const isReady = (): boolean => {
 		const ready = !isLeaving && configuration.table() !== null && lease.holds();
@@ -233,7 +233,7 @@
 		view.prune(steadyNowMs());
 	}, pruneMs);
 	metrics.gauge('open_requests', 'Requests that are being answered.', front.openRequests);
-	metrics.gauge('waiting_requests', 'Requests that wait for an endpoint.', room.count);
+	metrics.gauge('waiting_requests', 'Requests that wait for an endpoint.', waitQueue.count);
 	metrics.gauge('open_connections', 'Connections of callers.', front.openConnections);
 	metrics.gauge('configuration_number', 'Number of the configuration in force here.', configuration.number);
 	metrics.gauge('key_lease_age_ms', 'Since when the keys in force are surely known.', lease.ageMs);
@@ -263,15 +263,15 @@
 			isLeaving = true;
 			isReady();
 			const startedAtMs = performance.now();
-			endsAtMs = startedAtMs + bounds.graceMs;
+			exitsAtMs = startedAtMs + bounds.graceMs;
 			const servingMs = bounds.graceMs * servingShare;
-			// Callers go on with the connections they have, and learn with each answer that they must not: closing one under a request would lose it.
-			while (performance.now() < startedAtMs + servingMs && (front.openConnections() > 0 || performance.now() < startedAtMs + Math.min(noticeMs, servingMs))) {
+			// Callers keep using their connections, and each answer asks them to close (`connection: close`): closing a connection while a request is sent on it would lose the request.
+			while (performance.now() < startedAtMs + servingMs && (front.openConnections() > 0 || performance.now() < startedAtMs + Math.min(balancerDetectionMs, servingMs))) {
 				await delay(idlePollMs);
 			}
 
 			front.closeListener();
-			while (performance.now() < endsAtMs - lastMomentsMs && front.openConnections() > 0) {
+			while (performance.now() < exitsAtMs - shutdownReserveMs && front.openConnections() > 0) {
 				front.closeIdle();
 				await delay(idlePollMs);
 			}
--- a/packages/gateway/src/entry/event-splitter.ts
+++ b/packages/gateway/src/entry/event-splitter.ts
@@ -1,19 +1,19 @@
 import {Buffer} from 'node:buffer';
 
-/** Whole events out of the parts in which a stream arrives. */
+/** Splits the chunks of an event stream at event boundaries. */
 export type EventSplitter = {
-	/** Takes a part; returns what it completes, or `null` if no event has ended. */
+	/** Adds a chunk; returns the events that it completes, or `null` if it completes none. */
 	push(part: Uint8Array): Buffer | null;
-	/** Id of the last whole event; `null` while there is none. */
+	/** Id of the last complete event; `null` if there is none yet. */
 	lastId(): string | null;
-	/** Bytes of an event that has not ended. */
-	restBytes(): number;
+	/** Number of buffered bytes of an incomplete event. */
+	pendingBytes(): number;
 };
 
 const lineFeed = 0x0A;
 const carriageReturn = 0x0D;
 
-/** Where the last whole event ends: behind an empty line; 0 if none has ended. */
+/** Returns the offset after the last complete event (events end with an empty line); 0 if there is none. */
 const endOfLastEvent = (data: Buffer): number => {
 	for (let position = data.length - 1; position > 0; position--) {
 		if (data[position] !== lineFeed) {
@@ -32,7 +32,7 @@
 const idField = 'id:';
 const idLine = `\n${idField}`;
 
-/** The id of the last event that has one; looked for from the end, since every event of every stream passes here. */
+/** Returns the id of the last event that has one; searches from the end because this runs for every event of every stream. */
 const idOfLast = (events: Buffer): string | null => {
 	const before = events.lastIndexOf(idLine);
 	if (before === -1 && events.indexOf(idField) !== 0) {
@@ -45,18 +45,18 @@
 };
 
 /**
- * Passes on whole events only. An endpoint that breaks off within an event, and
- * another that goes on behind the last whole one, would otherwise leave the
- * caller with the halves of two runs in one event.
+ * Forwards complete events only. Otherwise, if an endpoint failed in the middle of an
+ * event and another one resumed after the last complete event, the caller would get
+ * one event made of parts of two runs.
  */
 export const createEventSplitter = (): EventSplitter => {
-	let rest: Buffer = Buffer.alloc(0);
+	let pending: Buffer = Buffer.alloc(0);
 	let lastId: string | null = null;
 	return {
 		push(part) {
-			const data = rest.length === 0 ? Buffer.from(part.buffer, part.byteOffset, part.byteLength) : Buffer.concat([rest, part]);
+			const data = pending.length === 0 ? Buffer.from(part.buffer, part.byteOffset, part.byteLength) : Buffer.concat([pending, part]);
 			const end = endOfLastEvent(data);
-			rest = data.subarray(end);
+			pending = data.subarray(end);
 			if (end === 0) {
 				return null;
 			}
@@ -66,6 +66,6 @@
 			return events;
 		},
 		lastId: () => lastId,
-		restBytes: () => rest.length,
+		pendingBytes: () => pending.length,
 	};
 };
--- a/packages/gateway/src/entry/find-endpoint.ts
+++ b/packages/gateway/src/entry/find-endpoint.ts
@@ -2,21 +2,21 @@
 	nextStep, preferredLimited, type NextStep, type Placement, type SeekingRequest, type ServiceDemand, type Surroundings, type WaitReason,
 } from '@bitternpaddle/coordination';
 import type {CallContext} from './call-context.js';
-import {duesOf} from './call-headers.js';
+import {versionDuesOf} from './call-headers.js';
 import type {CallProgress} from './call-progress.js';
-import {giveUp, leastRemainingMs, refuseQuarantined} from './finish-call.js';
+import {failCall, minRemainingMs, refuseQuarantined} from './finish-call.js';
 import type {Call} from './gateway-call.js';
 
-/** Whose key was taken away finds no better answer before its operator has acted. */
+/** Retry delay for a caller whose key was revoked; earlier retries are refused as well until an operator acts. */
 const revokedRetryMs = 1500;
 
-/** Why a call cannot go on, whatever endpoints there are. */
-type Hindrance = {readonly reason: string; readonly retryAfterMs?: number};
+/** Why a call is refused regardless of the available endpoints. */
+type Refusal = {readonly reason: string; readonly retryAfterMs?: number};
 
 /**
- * The next endpoint to send to; `null` if the caller has its final answer.
- * Where no endpoint can take a request now, it waits a moment and looks again, as
- * long as the step that decides says so.
+ * Selects the endpoint to send to next; `null` if the caller has its final answer.
+ * While no endpoint can accept the request, waits and checks again for as long as
+ * `nextStep` returns `wait`.
  */
 export const findEndpoint = async (context: CallContext, call: Call, progress: CallProgress): Promise<Placement | null> => {
 	const wait = createWait(context, call, progress);
@@ -27,12 +27,12 @@
 				return refuseQuarantined(context, call, progress, verdict);
 			}
 
-			const hindrance = hindranceOf(context, call);
-			if (hindrance !== null) {
-				return giveUp(context, call, progress, hindrance.reason, hindrance.retryAfterMs);
+			const refusal = refusalOf(context, call);
+			if (refusal !== null) {
+				return failCall(context, call, progress, refusal.reason, refusal.retryAfterMs);
 			}
 
-			const step = lookForEndpoint(context, call, wait.seeking());
+			const step = selectNextStep(context, call, wait.seeking());
 			switch (step.type) {
 				case 'send': {
 					// Synchronous with the decision: requests released in the same tick must not all be sent with one permit.
@@ -41,12 +41,12 @@
 				}
 
 				case 'refuse': {
-					return giveUp(context, call, progress, step.reason, step.retryAfterMs);
+					return failCall(context, call, progress, step.reason, step.retryAfterMs);
 				}
 
 				case 'wait': {
-					wait.goOn(step.reason);
-					await context.room.nextLook();
+					wait.continueFor(step.reason);
+					await context.waitQueue.nextCheck();
 				}
 			}
 		}
@@ -55,32 +55,32 @@
 	}
 };
 
-const hindranceOf = ({nowMs, holdsLease, lostCoreRetryMs}: CallContext, call: Call): Hindrance | null => {
-	if (call.ended.signal.aborted || call.deadlineAtMs - nowMs() < leastRemainingMs) {
+const refusalOf = ({nowMs, holdsLease, lostCoreRetryMs}: CallContext, call: Call): Refusal | null => {
+	if (call.cancellation.signal.aborted || call.deadlineAtMs - nowMs() < minRemainingMs) {
 		return {reason: 'the deadline passed'};
 	}
 
-	if (call.isKeyed && !holdsLease()) {
-		return {reason: 'the keys in force are not surely known', retryAfterMs: lostCoreRetryMs()};
+	if (call.requiresKey && !holdsLease()) {
+		return {reason: 'the keys in force are not confirmed', retryAfterMs: lostCoreRetryMs()};
 	}
 
-	// It may have been taken away while the request waited.
+	// The key may have been revoked while the request waited.
 	return call.isKeyInForce() ? null : {reason: 'the key is no longer in force', retryAfterMs: revokedRetryMs};
 };
 
-const lookForEndpoint = (context: CallContext, call: Call, seeking: SeekingRequest): NextStep => {
+const selectNextStep = (context: CallContext, call: Call, seeking: SeekingRequest): NextStep => {
 	const {name, engine: profile} = call.service;
-	const {limits, room, random} = context;
+	const {limits, waitQueue, random} = context;
 	const nowMs = context.nowMs();
 	const demand: ServiceDemand = {
-		sending: context.sending(name), objectives: context.objectives(name), spareRoom: context.spareRoom(name),
-		heldCount: room.heldFor(name, 'engines'), queuedCount: room.heldFor(name, 'availability'),
+		sending: context.sendRate(name), objectives: context.objectives(name), spareRoom: context.spareCapacity(name),
+		heldCount: waitQueue.waitingCount(name, 'engines'), queuedCount: waitQueue.waitingCount(name, 'availability'),
 	};
 	const surroundings: Surroundings = {
 		candidates: context.view.candidates(name, nowMs), permitStateOf: ({announcement}) => limits.stateOf(announcement), profile, zoneId: context.zoneId,
-		entryCount: context.entryCount(), dues: duesOf(context, call), leftMs: context.leftMs(), random, nowMs,
+		entryCount: context.entryCount(), dues: versionDuesOf(context, call), leftMs: context.remainingGraceMs(), random, nowMs,
 	};
-	const preferred = limits.hasLimited() ? preferredLimited(demand, surroundings, seeking) : null;
+	const preferred = limits.hasLimits() ? preferredLimited(demand, surroundings, seeking) : null;
 	if (preferred !== null) {
 		limits.requestPermits(preferred.announcement);
 	}
@@ -88,11 +88,11 @@
 	return nextStep(demand, surroundings, seeking);
 };
 
-/** What a request waits for, and its place among those that wait for the same. */
+/** What a request waits for; counts it among the waiting requests. */
 type Wait = {
 	seeking(): SeekingRequest;
-	/** It waits on, for `reason`. */
-	goOn(reason: WaitReason): void;
+	/** Continues to wait, for `reason`. */
+	continueFor(reason: WaitReason): void;
 	end(): void;
 };
 
@@ -101,11 +101,11 @@
 	let leave: (() => void) | null = null;
 	let seeking: SeekingRequest = {
 		isLastTry: call.hasComeBack, deadlineAtMs: call.deadlineAtMs, retryClass: route.retryClass, objectiveMs: route.objectiveMs, timeoutMs: route.timeoutMs,
-		promptTokens: call.promptTokens, mostAnswerTokens: call.mostAnswerTokens, receivedAtMs: call.receivedAtMs, sinceMs: context.nowMs(),
+		promptTokens: call.promptTokens, mostAnswerTokens: call.answerTokenLimit, receivedAtMs: call.receivedAtMs, sinceMs: context.nowMs(),
 		isBegun: progress.hasEvents, sentCount: progress.sent, triedIds: progress.triedIds, waitsFor: null,
 	};
 
-	const enter = (reason: WaitReason): (() => void) | null => {
+	const joinQueue = (reason: WaitReason): (() => void) | null => {
 		switch (reason) {
 			case 'moment': {
 				return null;
@@ -113,7 +113,7 @@
 
 			case 'engines':
 			case 'availability': {
-				return context.room.hold(name, reason);
+				return context.waitQueue.countWaiting(name, reason);
 			}
 		}
 	};
@@ -125,17 +125,17 @@
 
 	return {
 		seeking: () => seeking,
-		goOn(reason) {
+		continueFor(reason) {
 			if (reason === seeking.waitsFor) {
 				return;
 			}
 
 			end();
 			seeking = {...seeking, waitsFor: reason};
-			leave = enter(reason);
+			leave = joinQueue(reason);
 			context.logger.event('BP4028', {
 				requestId: call.requestId, waitsFor: reason, remainingMs: Math.round(call.deadlineAtMs - context.nowMs()),
-				heldCount: context.room.heldFor(name, 'engines'), queuedCount: context.room.heldFor(name, 'availability'),
+				heldCount: context.waitQueue.waitingCount(name, 'engines'), queuedCount: context.waitQueue.waitingCount(name, 'availability'),
 			});
 		},
 		end,
--- a/packages/gateway/src/entry/finish-call.ts
+++ b/packages/gateway/src/entry/finish-call.ts
@@ -1,25 +1,26 @@
 import type {Buffer} from 'node:buffer';
 import type http from 'node:http';
 import type {Verdict} from '@bitternpaddle/coordination';
-import {sendOwnAnswer, type OwnAnswer} from './answer.js';
+import {sendLocalReply, type LocalReply} from './local-reply.js';
 import type {AnswerHead} from './attempt.js';
 import type {CallContext} from './call-context.js';
 import type {CallProgress} from './call-progress.js';
 import {answerHeaders} from './forwarded-headers.js';
 import type {Call} from './gateway-call.js';
 
-/** Less than this is left: nothing can be sent and answered any more. */
-export const leastRemainingMs = 15;
-/** When a caller should come back whose request was refused by the endpoints that it was sent to. */
+/** With less time than this before the deadline, a request can no longer be sent and answered. */
+export const minRemainingMs = 15;
+/** Retry delay for a caller whose request was refused by the endpoints that it was sent to. */
 export const exhaustedRetryMs = 1000;
 
-/** An answer without a length and not in chunks ends with its connection. */
+/** An answer without a length or chunked encoding ends when the connection closes. */
 const isUnframed = ({headers}: AnswerHead): boolean => headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
 
 /**
- * Begins an answer framed as its endpoint framed it. Whether one that ends with
- * its connection is whole, nobody can tell: an endpoint that dies ends it in the
- * same way. With a length or an end of chunks the entry would vouch for it.
+ * Sends the head of an answer with the framing that the endpoint used. Whether an
+ * answer that ends with its connection is complete cannot be determined, because an
+ * endpoint that crashes ends it in the same way. A length or a final chunk added by
+ * the entry would mark it as complete.
  */
 const beginAnswer = (response: http.ServerResponse, head: AnswerHead, headers: http.OutgoingHttpHeaders = {}): void => {
 	if (isUnframed(head)) {
@@ -31,8 +32,8 @@
 	}
 };
 
-/** A stream keeps the head of the endpoint that began it, whoever goes on with it. */
-export const passEvents = (response: http.ServerResponse, head: AnswerHead, events: Buffer): void => {
+/** A stream keeps the head of the endpoint that started it, also if another endpoint resumes it. */
+export const forwardEvents = (response: http.ServerResponse, head: AnswerHead, events: Buffer): void => {
 	if (response.destroyed) {
 		return;
 	}
@@ -44,8 +45,8 @@
 	response.write(events);
 };
 
-/** An endpoint's whole answer. */
-export const passAnswer = ({metrics, logger, nowMs}: CallContext, call: Call, head: AnswerHead, body: Buffer): void => {
+/** Forwards an endpoint's complete answer. */
+export const forwardAnswer = ({metrics, logger, nowMs}: CallContext, call: Call, head: AnswerHead, body: Buffer): void => {
 	const {response, requestId, service, receivedAtMs} = call;
 	metrics.request(service.name, String(head.status));
 	logger.event('BP4020', {requestId, status: head.status, tookMs: Math.round(nowMs() - receivedAtMs)});
@@ -53,13 +54,13 @@
 		beginAnswer(response, head, {'content-length': body.length});
 		response.end(body);
 	} else if (response.headersSent) {
-		// A stream that another endpoint was to go on with was answered in another way: the caller must see a cut.
+		// Another endpoint was to resume the stream but did not answer with a stream: the caller must see that the stream was cut off.
 		response.destroy();
 	}
 };
 
-/** The end of a whole stream. */
-export const endStream = ({metrics, logger, nowMs}: CallContext, call: Call, {firstByteMs, expectedMs}: CallProgress, head: AnswerHead): void => {
+/** Ends a complete stream. */
+export const finishStream = ({metrics, logger, nowMs}: CallContext, call: Call, {firstByteMs, expectedMs}: CallProgress, head: AnswerHead): void => {
 	const {response, requestId, service, receivedAtMs} = call;
 	metrics.request(service.name, String(head.status));
 	logger.event('BP4020', {
@@ -74,17 +75,17 @@
 	}
 };
 
-const ownAnswerOf = (call: Call, {mayHaveRun, sent}: CallProgress, message: string, retryAfterMs: number | undefined, nowMs: number): OwnAnswer => {
+const localReplyFor = (call: Call, {mayHaveRun, sent}: CallProgress, message: string, retryAfterMs: number | undefined, nowMs: number): LocalReply => {
 	if (!mayHaveRun) {
-		// 503 is a promise: not run, and never will be.
+		// 503 guarantees that the request has not run and never will.
 		return {status: 503, message: sent === 0 ? message : `not run: ${message}`, retryAfterMs: retryAfterMs ?? exhaustedRetryMs};
 	}
 
-	return nowMs >= call.deadlineAtMs - leastRemainingMs ? {status: 504, message: `may have run: ${message}`} : {status: 502, message: `may have run: ${message}`};
+	return nowMs >= call.deadlineAtMs - minRemainingMs ? {status: 504, message: `may have run: ${message}`} : {status: 502, message: `may have run: ${message}`};
 };
 
-/** Gives the caller its final answer, or a cut if part of one was sent. */
-export const giveUp = ({metrics, logger, nowMs}: CallContext, call: Call, progress: CallProgress, message: string, retryAfterMs?: number): null => {
+/** Sends the caller its final answer, or closes the connection if part of an answer was already sent. */
+export const failCall = ({metrics, logger, nowMs}: CallContext, call: Call, progress: CallProgress, message: string, retryAfterMs?: number): null => {
 	const {response, requestId, service} = call;
 	if (response.destroyed) {
 		metrics.request(service.name, 'left');
@@ -92,7 +93,7 @@
 		return null;
 	}
 
-	const answer = ownAnswerOf(call, progress, message, retryAfterMs, nowMs());
+	const answer = localReplyFor(call, progress, message, retryAfterMs, nowMs());
 	metrics.request(service.name, String(answer.status));
 	logger.event(progress.mayHaveRun ? 'BP4022' : 'BP4021', {
 		requestId, status: answer.status, reason: message, sent: progress.sent, unreachable: progress.unreachable, retryAfterMs: answer.retryAfterMs, hasEvents: progress.hasEvents,
@@ -101,21 +102,21 @@
 	if (response.headersSent) {
 		response.destroy();
 	} else {
-		sendOwnAnswer(response, answer);
+		sendLocalReply(response, answer);
 	}
 
 	return null;
 };
 
 /**
- * A request that ends the endpoints that run it gets its final answer, whether it
- * ran or not: repeated, it would only end more of them.
+ * Sends the final answer to a request that crashes the endpoints that run it, whether
+ * it ran or not: repeated, it would only crash more endpoints.
  */
 export const refuseQuarantined = (context: CallContext, call: Call, progress: CallProgress, {fingerprint, evidence, untilMs}: Verdict): null => {
 	const {metrics, logger, nowMs} = context;
 	const {response, requestId, service} = call;
 	if (response.destroyed) {
-		return giveUp(context, call, progress, 'the caller left');
+		return failCall(context, call, progress, 'the caller disconnected');
 	}
 
 	const status = 400;
@@ -123,12 +124,12 @@
 	metrics.request(service.name, String(status));
 	metrics.count('quarantine_refusals', 'Requests that were refused because they end endpoints.');
 	logger.event('BP4021', {
-		requestId, status, reason: 'endpoints end under this request', fingerprint, ends: evidence.length, sent: progress.sent, heldMs: Math.round(nowMs() - call.receivedAtMs),
+		requestId, status, reason: 'the request crashes the endpoints that run it', fingerprint, ends: evidence.length, sent: progress.sent, heldMs: Math.round(nowMs() - call.receivedAtMs),
 	});
 	if (response.headersSent) {
 		response.destroy();
 	} else {
-		sendOwnAnswer(response, {status, message: `${evidence.length} endpoints ended while they had this request; it is sent to no other for ${remainingS} s`});
+		sendLocalReply(response, {status, message: `${evidence.length} endpoints ended while they had this request; it is not sent to another one for ${remainingS} s`});
 	}
 
 	return null;
--- a/packages/gateway/src/entry/front-server.ts
+++ b/packages/gateway/src/entry/front-server.ts
@@ -11,30 +11,30 @@
 
 export type FrontServer = {
 	readonly address: string;
-	/** Requests that are being answered. */
+	/** Number of requests in progress. */
 	openRequests(): number;
 	openConnections(): number;
-	/** How long a caller's connection may lie idle. */
+	/** Sets how long a caller's connection may be idle. */
 	setIdleTimeout(idleMs: number): void;
-	/** Takes no new connections; those that are open go on. */
+	/** Stops accepting connections; open connections stay open. */
 	closeListener(): void;
-	/** Ends connections that carry no request. */
+	/** Closes connections without a request in progress. */
 	closeIdle(): void;
 	destroy(): void;
 };
 
-/** Callers use a connection until shortly before the idle timeout that they know: the entry must not be the first to close. */
-const idleSlackMs = 2000;
+/** Added to the idle timeout that callers know. They use a connection until shortly before that timeout, so the entry must not close it first. */
+const idleMarginMs = 2000;
 const defaultIdleMs = 15_000;
 const maxHeadBytes = 32_768;
 
-/** Where callers connect to. */
+/** Creates the HTTP server for callers. */
 export const createFrontServer = async ({listen, serve, onError}: FrontServerOptions): Promise<FrontServer> => {
 	const exchanges = new Map<Socket, Exchange>();
 	const sockets = new Set<Socket>();
 	const usedSockets = new WeakSet<Socket>();
 	const server = http.createServer({
-		keepAliveTimeout: defaultIdleMs + idleSlackMs, maxHeaderSize: maxHeadBytes, requestTimeout: 0,
+		keepAliveTimeout: defaultIdleMs + idleMarginMs, maxHeaderSize: maxHeadBytes, requestTimeout: 0,
 	}, (request, response) => {
 		const {socket} = request;
 		exchanges.set(socket, {request, response});
@@ -63,7 +63,7 @@
 		openRequests: () => exchanges.size,
 		openConnections: () => sockets.size,
 		setIdleTimeout(idleMs) {
-			server.keepAliveTimeout = idleMs + idleSlackMs;
+			server.keepAliveTimeout = idleMs + idleMarginMs;
 		},
 		closeListener() {
 			server.close();
--- a/packages/gateway/src/entry/gateway-call.ts
+++ b/packages/gateway/src/entry/gateway-call.ts
@@ -3,7 +3,7 @@
 import type {RequestFingerprint, RequestOutline} from '@bitternpaddle/coordination';
 import type {Route, Service, Team} from '@bitternpaddle/state';
 
-/** One request of a caller, from its head to its last byte. */
+/** A request of a caller until its answer is complete. */
 export type Call = {
 	readonly requestId: string;
 	readonly request: http.IncomingMessage;
@@ -13,22 +13,22 @@
 	readonly team: Team | null;
 	readonly body: Buffer | null;
 	readonly promptTokens: number;
-	/** The most tokens that the answer may have; 0 if the caller does not tell. */
-	readonly mostAnswerTokens: number;
+	/** The largest number of tokens that the answer may have; 0 if the caller does not state it. */
+	readonly answerTokenLimit: number;
 	readonly receivedAtMs: number;
-	/** The final answer is due, by the caller's deadline or the route's timeout. */
+	/** When the final answer is due, by the caller's deadline or the route's timeout, whichever is earlier. */
 	readonly deadlineAtMs: number;
-	/** The caller surely was sent away before; it has no further try, and is late already. */
+	/** Whether this is a confirmed caller retry: it has no further retry and is already late. */
 	readonly hasComeBack: boolean;
-	/** The caller left, or the deadline passed. */
-	readonly ended: AbortController;
-	/** Key needed: the lease must be held when the request is sent on. */
-	readonly isKeyed: boolean;
-	/** What can be told of the fingerprint without the body's content. */
+	/** Aborted when the caller disconnects, the deadline passes or the request is quarantined. */
+	readonly cancellation: AbortController;
+	/** Whether the route requires a key; the lease must then be held when the request is forwarded. */
+	readonly requiresKey: boolean;
+	/** The part of the fingerprint that does not depend on the content of the body. */
 	outline(): RequestOutline;
-	/** Hashed when it is first asked for. */
+	/** Hashes the body on the first call. */
 	fingerprint(): RequestFingerprint;
-	/** Whether the newest configuration that is known here still gives its key to its team; `true` without a key. */
+	/** Whether the newest configuration known here still assigns the request's key to its team; `true` without a key. */
 	isKeyInForce(): boolean;
 };
 
--- /dev/null
+++ b/packages/gateway/src/entry/handle-attempt-result.ts
@@ -0,0 +1,182 @@
+import type {Buffer} from 'node:buffer';
+import {
+	hasFreshReport, noteFailure, noteNoConnection, noteSuccess, takeAttempt, type Candidate, type Placement,
+} from '@bitternpaddle/coordination';
+import type {AnswerHead, AttemptResult, FailureCause} from './attempt.js';
+import type {CallContext} from './call-context.js';
+import {requestedVersion} from './call-headers.js';
+import type {CallProgress} from './call-progress.js';
+import {
+	finishStream, exhaustedRetryMs, failCall, forwardAnswer, refuseQuarantined,
+} from './finish-call.js';
+import {isIdempotent, type Call} from './gateway-call.js';
+
+/** Failed connection attempts before a call fails; each may take up to a connect timeout. */
+const maxUnreachable = 3;
+
+/** Processes the result of an attempt; `true` if the caller has its final answer. */
+export const handleAttemptResult = (context: CallContext, call: Call, progress: CallProgress, {candidate}: Placement, result: AttemptResult): boolean => {
+	switch (result.type) {
+		case 'streamed': {
+			context.quarantine.recordCompletion(call);
+			noteSuccess(candidate.health);
+			finishStream(context, call, progress, result.head);
+			return true;
+		}
+
+		case 'answered': {
+			context.quarantine.recordCompletion(call);
+			return handleAnswer(context, call, progress, candidate, result);
+		}
+
+		case 'refused': {
+			progress.sent++;
+			progress.lastReason = `the endpoint answered ${result.head.status} and did not run the request`;
+			recordRefusal(context, candidate, result.head, requestedVersion(context, call, candidate) !== null);
+			return !retryOrFail(context, call, progress);
+		}
+
+		case 'unsent': {
+			progress.unreachable++;
+			progress.lastReason = result.reason;
+			logAttemptFailure(context, call, candidate, result.reason);
+			noteNoConnection(candidate.health, context.nowMs());
+			if (result.isRefused) {
+				context.quarantine.recordExit(candidate.announcement.address);
+			}
+
+			return progress.unreachable > maxUnreachable && failCall(context, call, progress, progress.lastReason, retryAfterMs(context, call)) === null;
+		}
+
+		case 'broken': {
+			progress.sent++;
+			progress.mayHaveRun = true;
+			progress.lastReason = result.reason;
+			logAttemptFailure(context, call, candidate, result.reason, result.cause);
+			recordEndpointFailure(context, call, candidate);
+			recordDisconnected(context, call, candidate, result);
+			return !retryOrFail(context, call, progress);
+		}
+
+		case 'aborted': {
+			progress.sent++;
+			progress.mayHaveRun = true;
+			endAborted(context, call, progress);
+			return true;
+		}
+	}
+};
+
+/** Ignores endpoints that are leaving: they close their connections in the same way as a crashing endpoint. */
+const recordDisconnected = ({quarantine}: CallContext, call: Call, {announcement: {address, state}, load: {isLeaving}}: Candidate, {cause, stage}: Extract<AttemptResult, {type: 'broken'}>): void => {
+	if (cause === 'disconnected' && state === 'ready' && !isLeaving) {
+		quarantine.recordDisconnect(call, address, stage);
+	}
+};
+
+const endAborted = (context: CallContext, call: Call, progress: CallProgress): void => {
+	const verdict = context.quarantine.verdictOn(call);
+	if (verdict === null) {
+		failCall(context, call, progress, 'the deadline passed');
+	} else {
+		refuseQuarantined(context, call, progress, verdict);
+	}
+};
+
+/** Statuses that guarantee to a caller that its request has not run. */
+const notRunStatuses: ReadonlySet<number> = new Set([408, 429, 503]);
+
+/** Why an answer must not be forwarded; `null` if it may be. */
+const answerFaultOf = ({protocol}: CallContext, call: Call, {status, headers}: AnswerHead): string | null => {
+	if (status < 300 && headers[protocol.headers.signature] === undefined) {
+		return 'the answer has no signature header';
+	}
+
+	// Unless the endpoint states that it did not run the request, these statuses would give a guarantee that is not confirmed.
+	return notRunStatuses.has(status) && !isIdempotent(call) ? `the endpoint answered ${status} without stating that it did not run the request` : null;
+};
+
+const handleAnswer = (context: CallContext, call: Call, progress: CallProgress, candidate: Candidate, {head, body}: Extract<AttemptResult, {type: 'answered'}>): boolean => {
+	const fault = answerFaultOf(context, call, head);
+	if (fault !== null || head.status >= 500) {
+		progress.sent++;
+		progress.mayHaveRun = true;
+		progress.lastReason = fault ?? `the endpoint answered ${head.status}`;
+		logAttemptFailure(context, call, candidate, progress.lastReason);
+		recordEndpointFailure(context, call, candidate);
+		if (isIdempotent(call) && takeRetry(context, call, progress)) {
+			return false;
+		}
+
+		if (fault !== null) {
+			failCall(context, call, progress, progress.lastReason);
+			return true;
+		}
+	} else {
+		noteSuccess(candidate.health);
+	}
+
+	forwardAnswer(context, call, head, body);
+	return true;
+};
+
+const recordRefusal = ({view, nowMs}: CallContext, {announcement, load, health}: Candidate, {status}: AnswerHead, hasRequestedVersion: boolean): void => {
+	if (status === 421) {
+		// Another start of the endpoint runs there, or another weight version than its host last reported.
+		load.reportedAtMs = Number.NEGATIVE_INFINITY;
+		if (hasRequestedVersion) {
+			noteNoConnection(health, nowMs());
+		} else {
+			view.markReplaced(announcement.id);
+		}
+
+		return;
+	}
+
+	// The endpoint is full, whatever its last report was.
+	load.told = {active: announcement.slots * 2, atMs: nowMs()};
+};
+
+const logAttemptFailure = ({logger}: CallContext, call: Call, {announcement}: Candidate, reason: string, cause: FailureCause | null = null): void => {
+	logger.event('BP4024', {
+		requestId: call.requestId, endpointId: announcement.id, address: announcement.address, reason,
+		...(cause !== null && {cause, fingerprint: call.fingerprint()}),
+	});
+};
+
+const recordEndpointFailure = ({view, logger, nowMs}: CallContext, {service}: Call, candidate: Candidate): void => {
+	const now = nowMs();
+	if (hasFreshReport(candidate.load, now) && candidate.load.report!.isBusy) {
+		// The engine is loading a version and aborted the remaining requests, which is not a failure.
+		return;
+	}
+
+	const others = view.candidates(service.name, now).filter(other => other !== candidate);
+	const usualShare = others.length === 0 ? 1 : others.reduce((sum, {health}) => sum + health.failureShare, 0) / others.length;
+	if (noteFailure(candidate.health, usualShare, now)) {
+		logger.event('BP4026', {endpointId: candidate.announcement.id, untilMs: Math.round(candidate.health.restUntilMs - now)});
+	}
+};
+
+/** Whether the request may be sent to one more endpoint; if so, consumes a retry from the allowance. */
+const takeRetry = (context: CallContext, call: Call, progress: CallProgress): boolean => {
+	const isAllowed = !progress.mayHaveRun || isIdempotent(call);
+	return isAllowed && !call.cancellation.signal.aborted && progress.sent < call.route.maxAttempts
+		&& takeAttempt(context.allowance(call.service.name), context.retryReserve(), context.nowMs());
+};
+
+const retryOrFail = (context: CallContext, call: Call, progress: CallProgress): boolean => {
+	if (takeRetry(context, call, progress)) {
+		return true;
+	}
+
+	failCall(context, call, progress, progress.lastReason, retryAfterMs(context, call));
+	return false;
+};
+
+/** The retry delay for a caller whose attempts are used up: at least until the first endpoint is no longer paused. */
+const retryAfterMs = ({view, nowMs}: CallContext, {service}: Call): number => {
+	const now = nowMs();
+	const remainingPausesMs = view.candidates(service.name, now).filter(({load}) => !load.isLeaving).map(({load}) => load.pausedUntilMs - now);
+	return remainingPausesMs.length === 0 ? exhaustedRetryMs : Math.max(exhaustedRetryMs, Math.min(...remainingPausesMs));
+};
--- a/packages/gateway/src/entry/answer.ts
+++ b/packages/gateway/src/entry/local-reply.ts
@@ -1,17 +1,17 @@
 import type http from 'node:http';
 
-/** What a caller is told who gets no endpoint's answer. */
-export type OwnAnswer = {
+/** A response that the entry generates itself, instead of an endpoint's answer. */
+export type LocalReply = {
 	readonly status: number;
 	readonly message: string;
-	/** When to come back; only where the request has not run. */
+	/** Retry delay for the caller; only set if the request has not run. */
 	readonly retryAfterMs?: number;
-	/** The rest of the request is not read. */
+	/** Whether the connection is closed because the rest of the request is not read. */
 	readonly isClosing?: boolean;
 };
 
-/** Sends an answer of the entry's own; `false` if the caller is gone or was already sent something. */
-export const sendOwnAnswer = (response: http.ServerResponse, {status, message, retryAfterMs, isClosing = false}: OwnAnswer): boolean => {
+/** Returns `false` if the caller has disconnected or part of an answer was already sent. */
+export const sendLocalReply = (response: http.ServerResponse, {status, message, retryAfterMs, isClosing = false}: LocalReply): boolean => {
 	if (response.destroyed || response.headersSent) {
 		return false;
 	}
--- a/packages/gateway/src/entry/run-call.ts
+++ b/packages/gateway/src/entry/run-call.ts
@@ -4,42 +4,42 @@
 import {sendAttempt, type AnswerHead, type AttemptResult} from './attempt.js';
 import {attemptLimits} from './attempt-limits.js';
 import type {CallContext} from './call-context.js';
-import {duesOf, endpointHeaders, heldVersion} from './call-headers.js';
+import {versionDuesOf, endpointHeaders, loadedVersion} from './call-headers.js';
 import {createCallProgress, type CallProgress} from './call-progress.js';
 import {findEndpoint} from './find-endpoint.js';
-import {passEvents} from './finish-call.js';
+import {forwardEvents} from './finish-call.js';
 import {isIdempotent, type Call} from './gateway-call.js';
-import {isFinal} from './judge-attempt.js';
+import {handleAttemptResult} from './handle-attempt-result.js';
 
-/** Sends a request to endpoints until one has answered it, or it is given up, and answers its caller. */
+/** Sends a request to endpoints until one answers or no further attempt is allowed, and sends the caller its answer. */
 export const runCall = async (context: CallContext, call: Call): Promise<void> => {
 	const {nowMs} = context;
 	const progress = createCallProgress();
 	noteRequest(context.allowance(call.service.name), nowMs());
 	noteObjective(context.objectives(call.service.name), call.route.objectiveMs, nowMs());
-	const endWatch = context.quarantine.watch(call, () => {
-		// An answer that has begun goes on: its end will clear the request, or confirm the verdict.
+	const unwatch = context.quarantine.watch(call, () => {
+		// An answer that has started continues: its outcome clears the request or confirms the verdict.
 		if (!call.response.headersSent) {
-			call.ended.abort();
+			call.cancellation.abort();
 		}
 	});
 	try {
 		await runAttempts(context, call, progress);
 	} finally {
-		endWatch();
+		unwatch();
 	}
 };
 
 const runAttempts = async (context: CallContext, call: Call, progress: CallProgress): Promise<void> => {
 	for (;;) {
-		const choice = await findEndpoint(context, call, progress);
-		if (choice === null) {
+		const placement = await findEndpoint(context, call, progress);
+		if (placement === null) {
 			return;
 		}
 
-		const result = await attempt(context, call, progress, choice);
+		const result = await attempt(context, call, progress, placement);
 		context.metrics.attempt(call.service.name, result.type);
-		if (isFinal(context, call, progress, choice, result)) {
+		if (handleAttemptResult(context, call, progress, placement, result)) {
 			return;
 		}
 	}
@@ -52,9 +52,9 @@
 	const startedAtMs = nowMs();
 	const sequence = progress.triedIds.size;
 	const key = nextAwaitedKey();
-	const held = heldVersion(context, call, candidate);
+	const engineVersion = loadedVersion(context, call, candidate);
 	progress.triedIds.add(announcement.id);
-	noteArrival(context.sending(service.name), startedAtMs);
+	noteArrival(context.sendRate(service.name), startedAtMs);
 	load.outstanding++;
 	load.awaiting.set(key, {promptTokens: call.promptTokens, sentAtMs: startedAtMs, expectedMs});
 	logger.event('BP4023', {
@@ -65,18 +65,18 @@
 	const result = await sendAttempt({
 		connections, headerNames: protocol.headers, address: announcement.address, method: call.request.method!, path: call.request.url!,
 		headers: endpointHeaders(context, call, progress, candidate), requestId: call.requestId, body: call.body,
-		isDelicate: !isIdempotent(call),
+		requiresFreshConnection: !isIdempotent(call),
 		limits: attemptLimits(call, candidate, isIdempotent(call) && progress.sent + 1 < route.maxAttempts, nowMs),
-		beginWithinMs: held === null ? null : beginWithinMs(held, duesOf(context, call), startedAtMs),
-		signal: call.ended.signal,
+		beginWithinMs: engineVersion === null ? null : beginWithinMs(engineVersion, versionDuesOf(context, call), startedAtMs),
+		signal: call.cancellation.signal,
 		onHead(head) {
-			noteLimit(context, candidate, head, startedAtMs);
-			noteLeaving(context, candidate, head);
+			recordLimit(context, candidate, head, startedAtMs);
+			recordLeaving(context, candidate, head);
 			handlePauseNotice(context, call, candidate, head);
 		},
 		onFirstByte(head) {
 			const tookMs = nowMs() - startedAtMs;
-			noteLoad(context, candidate, head);
+			recordLoad(context, candidate, head);
 			if (route.retryClass !== 'streaming') {
 				load.awaiting.delete(key);
 				metrics.firstByte(service.name, tookMs);
@@ -95,7 +95,7 @@
 
 			progress.lastEventId = lastId ?? progress.lastEventId;
 			progress.hasEvents = true;
-			passEvents(call.response, head, events);
+			forwardEvents(call.response, head, events);
 		},
 	});
 	load.outstanding--;
@@ -104,25 +104,25 @@
 	}
 
 	if (result.type === 'refused') {
-		noteLoad(context, candidate, result.head);
+		recordLoad(context, candidate, result.head);
 	}
 
 	return result;
 };
 
-let awaitedKeys = 0;
+let lastAwaitedKey = 0;
 const nextAwaitedKey = (): number => {
-	awaitedKeys++;
-	return awaitedKeys;
+	lastAwaitedKey++;
+	return lastAwaitedKey;
 };
 
 /** Time left of the endpoint's pause; 0 if none is in force. */
 const remainingPauseMs = ({pausedUntilMs}: EndpointLoad, nowMs: number): number => Math.max(0, Math.round(pausedUntilMs - nowMs));
 
-const noteLimit = ({protocol, limits}: CallContext, {announcement}: Candidate, {status, headers}: AnswerHead, sentAtMs: number): void => {
+const recordLimit = ({protocol, limits}: CallContext, {announcement}: Candidate, {status, headers}: AnswerHead, sentAtMs: number): void => {
 	// A 421 may come from another start of the endpoint, whose limit does not apply to this one.
 	if (status !== 421) {
-		limits.noteAnswer({
+		limits.recordAnswer({
 			announcement, notice: protocol.readLimit(headers), hasRun: status < 500 && headers[protocol.headers.notRun] === undefined, sentAtMs,
 		});
 	}
@@ -157,7 +157,7 @@
 	}
 };
 
-const noteLeaving = ({protocol, logger}: CallContext, {announcement: {id, address}, load}: Candidate, {status, headers}: AnswerHead): void => {
+const recordLeaving = ({protocol, logger}: CallContext, {announcement: {id, address}, load}: Candidate, {status, headers}: AnswerHead): void => {
 	// A 421 may come from another start of the endpoint, whose state does not apply to this one.
 	if (!load.isLeaving && status !== 421 && protocol.isLeaving(headers)) {
 		load.isLeaving = true;
@@ -165,7 +165,7 @@
 	}
 };
 
-const noteLoad = ({protocol, nowMs}: CallContext, {load}: Candidate, {headers}: AnswerHead): void => {
+const recordLoad = ({protocol, nowMs}: CallContext, {load}: Candidate, {headers}: AnswerHead): void => {
 	const text = headers[protocol.headers.load];
 	const active = typeof text === 'string' ? protocol.readActive(text) : null;
 	if (active !== null) {
--- a/packages/gateway/src/entry/serve-request.ts
+++ b/packages/gateway/src/entry/serve-request.ts
@@ -8,7 +8,7 @@
 import {BodyTooLargeError, readBody, type Logger} from '@bitternpaddle/transport';
 import type {GatewayMetrics} from '../process/gateway-metrics.js';
 import type {RequestProtocol} from '../link/request-protocol.js';
-import {sendOwnAnswer, type OwnAnswer} from './answer.js';
+import {sendLocalReply, type LocalReply} from './local-reply.js';
 import type {Call} from './gateway-call.js';
 
 export type ServeContext = {
@@ -18,46 +18,46 @@
 	readonly metrics: GatewayMetrics;
 	/** `null` until a configuration is known. */
 	table(): RouteTable | null;
-	/** Resolves once a configuration is known, after `mostMs` at the latest. */
-	awaitConfiguration(mostMs: number): Promise<void>;
-	/** At an entry that has just started: resolves once it holds the lease, after `mostMs` at the latest. */
-	awaitLease(mostMs: number): Promise<void>;
-	/** Whether this entry surely knows what is in force. */
+	/** Resolves once a configuration is known, after `maxMs` at the latest. */
+	awaitConfiguration(maxMs: number): Promise<void>;
+	/** After the start of the entry, resolves once it holds the lease, after `maxMs` at the latest. */
+	awaitLease(maxMs: number): Promise<void>;
+	/** Whether the configuration held by this entry is confirmed to be in force. */
 	holdsLease(): boolean;
-	/** When a caller should come back while the lease is not held. */
+	/** Retry delay for callers while the lease is not held. */
 	lostCoreRetryMs(): number;
-	/** The process ends: connections are closed behind their answers. */
+	/** Whether the process is shutting down; connections are then closed after the current answer. */
 	isLeaving(): boolean;
-	/** How long callers of a route wait that come for the first time. */
+	/** Deadlines of first attempts on a route, from which caller retries are recognized. */
 	patience(routeName: string): CallerPatience;
 	run(call: Call): Promise<void>;
 	nowMs(): number;
 };
 
-/** A route's service comes with the same configuration as the route: if it is missing, the next one will have it. */
-const unknownRetryMs = 500;
-/** The first configuration is here this long after the start, where any core host is up. */
+/** Retry delay if the service of a route is unknown. Both arrive in the same configuration, so the next one will contain it. */
+const unknownServiceRetryMs = 500;
+/** Time after the start within which the first configuration arrives if any core host is running. */
 const configurationWaitMs = 600;
-/** An entry that starts with the whole system gets the lease once the core has a leader: a second after its own start. */
+/** An entry that starts together with the whole system gets the lease once the core has a leader, about 1 s after its own start. */
 const leaseWaitMs = 1500;
-/** Of what a caller has left; the rest is for its answer, or its next try. */
+/** Share of a caller's remaining time that may be spent waiting; the rest is left for the answer or the next retry. */
 const startWaitShare = 0.35;
-const bearer = /^bearer\s+(?<key>\S+)\s*$/iv;
+const bearerPattern = /^bearer\s+(?<key>\S+)\s*$/iv;
 
-type Place = {readonly route: Route; readonly team: Team | null; /** `null`: none is needed. */ readonly key: string | null};
+type RouteMatch = {readonly route: Route; readonly team: Team | null; /** `null` if none is required. */ readonly key: string | null};
 
-/** Finds a request's route and team; an answer of the entry's own if it may not pass. */
-const findPlace = (context: ServeContext, {headers, url = '/'}: http.IncomingMessage): Place | OwnAnswer => {
+/** Finds the route and team of a request; returns a local reply if the request is refused. */
+const matchRoute = (context: ServeContext, {headers, url = '/'}: http.IncomingMessage): RouteMatch | LocalReply => {
 	const {table, holdsLease} = context;
 	const known = table();
 	if (known === null) {
 		return {status: 503, message: 'no configuration is known here yet', retryAfterMs: context.lostCoreRetryMs()};
 	}
 
-	/** What looks forbidden may have been allowed meanwhile, where this entry has lost the core. */
-	const forbid = (status: number, message: string): OwnAnswer => holdsLease()
+	/** A newer configuration may allow the request if this entry has lost contact with the core. */
+	const forbid = (status: number, message: string): LocalReply => holdsLease()
 		? {status, message}
-		: {status: 503, message: 'the configuration in force is not surely known here', retryAfterMs: context.lostCoreRetryMs()};
+		: {status: 503, message: 'the configuration held here is not confirmed to be in force', retryAfterMs: context.lostCoreRetryMs()};
 
 	const route = findRoute(known, headers.host ?? '', url.split('?', 1)[0]!);
 	if (route === null) {
@@ -68,20 +68,20 @@
 		return {route, team: null, key: null};
 	}
 
-	const key = bearer.exec(headers.authorization ?? '')?.groups?.key;
+	const key = bearerPattern.exec(headers.authorization ?? '')?.groups?.key;
 	const team = key === undefined ? undefined : known.teamsByKey.get(key);
 	return key === undefined || team === undefined ? forbid(401, 'the key is not known') : {route, team, key};
 };
 
-const isOwnAnswer = (placed: Place | OwnAnswer): placed is OwnAnswer => 'status' in placed;
+const isLocalReply = (matched: RouteMatch | LocalReply): matched is LocalReply => 'status' in matched;
 
-/** One of the route's services, by weight. */
-const drawService = ({targets}: Route, random: Random): string => {
+/** Selects one of the route's services at random, by weight. */
+const pickService = ({targets}: Route, random: Random): string => {
 	const total = targets.reduce((sum, {weight}) => sum + weight, 0);
-	let drawn = drawShare(random) * total;
+	let remainder = drawShare(random) * total;
 	for (const {serviceName, weight} of targets) {
-		drawn -= weight;
-		if (drawn < 0) {
+		remainder -= weight;
+		if (remainder < 0) {
 			return serviceName;
 		}
 	}
@@ -89,39 +89,39 @@
 	return targets.at(-1)!.serviceName;
 };
 
-const positive = (text: string | string[] | undefined): number | null => {
+const parsePositive = (text: string | string[] | undefined): number | null => {
 	const value = Number(text);
 	return text !== undefined && Number.isFinite(value) && value > 0 ? value : null;
 };
 
-/** How long the caller will wait; infinite if it does not say. */
-const callerDeadlineMs = ({protocol}: ServeContext, {headers}: http.IncomingMessage): number => positive(headers[protocol.headers.deadlineMs]) ?? Number.POSITIVE_INFINITY;
+/** How long the caller waits for the answer; infinite if it does not state it. */
+const callerDeadlineMs = ({protocol}: ServeContext, {headers}: http.IncomingMessage): number => parsePositive(headers[protocol.headers.deadlineMs]) ?? Number.POSITIVE_INFINITY;
 
 /**
- * As `findPlace`. At an entry that has just started, a caller that came back waits
- * for the lease: it has no further try. Its place is looked up anew then. What was
- * known before may be a snapshot's: a key that was taken away since would be served
- * once the lease, which says that all is known, is there.
+ * Like `matchRoute`, but at an entry that has just started, a caller retry waits for
+ * the lease because the caller has no further retry. The route is then matched again:
+ * the earlier configuration may come from a snapshot, and a key that was revoked since
+ * would otherwise be accepted once the lease is held.
  */
-const awaitPlace = async (context: ServeContext, request: http.IncomingMessage): Promise<Place | OwnAnswer> => {
+const awaitRouteMatch = async (context: ServeContext, request: http.IncomingMessage): Promise<RouteMatch | LocalReply> => {
 	const deadlineMs = callerDeadlineMs(context, request);
 	await context.awaitConfiguration(Math.min(configurationWaitMs, deadlineMs * startWaitShare));
-	const placed = findPlace(context, request);
-	if (isOwnAnswer(placed) || placed.key === null || context.holdsLease()) {
-		return placed;
+	const matched = matchRoute(context, request);
+	if (isLocalReply(matched) || matched.key === null || context.holdsLease()) {
+		return matched;
 	}
 
-	const {route} = placed;
+	const {route} = matched;
 	if (!hasComeBefore(context.patience(route.name), {deadlineMs, timeoutMs: route.timeoutMs})) {
-		return placed;
+		return matched;
 	}
 
 	await context.awaitLease(Math.min(leaseWaitMs, deadlineMs * startWaitShare));
-	return findPlace(context, request);
+	return matchRoute(context, request);
 };
 
-/** Computes a value when it is first asked for. */
-const once = <Value>(compute: () => Value): () => Value => {
+/** Computes a value on the first call and returns it on later calls. */
+const memoize = <Value>(compute: () => Value): () => Value => {
 	let computed: {readonly value: Value} | null = null;
 	return () => {
 		computed ??= {value: compute()};
@@ -129,7 +129,7 @@
 	};
 };
 
-/** Answers one request of a caller. */
+/** Handles one request of a caller. */
 export const serveRequest = async (context: ServeContext, request: http.IncomingMessage, response: http.ServerResponse, {isReused}: {readonly isReused: boolean}): Promise<void> => {
 	const {protocol, random, nowMs} = context;
 	const receivedAtMs = nowMs();
@@ -137,18 +137,18 @@
 		response.setHeader('connection', 'close');
 	}
 
-	const placed = await awaitPlace(context, request);
-	if (isOwnAnswer(placed)) {
-		refuse(context, request, response, placed);
+	const matched = await awaitRouteMatch(context, request);
+	if (isLocalReply(matched)) {
+		refuse(context, request, response, matched);
 		return;
 	}
 
-	const body = await readWholeBody(context, request, response);
+	const body = await readCompleteBody(context, request, response);
 	if (body === 'refused') {
 		return;
 	}
 
-	const {route, team, key} = placed;
+	const {route, team, key} = matched;
 	const deadlineMs = callerDeadlineMs(context, request);
 	const patience = context.patience(route.name);
 	if (isReused && Number.isFinite(deadlineMs)) {
@@ -156,46 +156,46 @@
 	}
 
 	const deadlineAtMs = receivedAtMs + Math.min(route.timeoutMs, deadlineMs);
-	const ended = new AbortController();
+	const cancellation = new AbortController();
 	const deadline = setTimeout(() => {
-		ended.abort();
+		cancellation.abort();
 	}, Math.max(0, deadlineAtMs - nowMs()));
 	response.once('close', () => {
 		clearTimeout(deadline);
-		// Work for a caller that has left is stopped at once, also while it waits its turn.
+		// Requests of callers that disconnect are aborted at once, also while they wait.
 		if (!response.writableFinished) {
-			ended.abort();
+			cancellation.abort();
 		}
 	});
-	const service = context.table()?.services.get(drawService(route, random));
+	const service = context.table()?.services.get(pickService(route, random));
 	if (service === undefined) {
-		refuse(context, request, response, {status: 503, message: 'the route\'s service is not known here', retryAfterMs: unknownRetryMs});
+		refuse(context, request, response, {status: 503, message: 'the route\'s service is not known here', retryAfterMs: unknownServiceRetryMs});
 		return;
 	}
 
-	const asked = {
+	const identity = {
 		method: request.method!, host: request.headers.host ?? '', path: request.url!, teamName: team?.name ?? null, body,
 	};
 	const tokens = protocol.readTokens(request.headers);
 	await context.run({
-		requestId: String(request.headers[protocol.headers.requestId] ?? ''), request, response, route, service, team, body, isKeyed: key !== null, receivedAtMs, deadlineAtMs, ended,
-		promptTokens: tokens.prompt, mostAnswerTokens: tokens.mostAnswer, hasComeBack: !isReused && hasComeBefore(patience, {deadlineMs, timeoutMs: route.timeoutMs}),
-		outline: once(() => outlineOf(asked)), fingerprint: once(() => fingerprintOf(asked)),
+		requestId: String(request.headers[protocol.headers.requestId] ?? ''), request, response, route, service, team, body, requiresKey: key !== null, receivedAtMs, deadlineAtMs, cancellation,
+		promptTokens: tokens.prompt, answerTokenLimit: tokens.mostAnswer, hasComeBack: !isReused && hasComeBefore(patience, {deadlineMs, timeoutMs: route.timeoutMs}),
+		outline: memoize(() => outlineOf(identity)), fingerprint: memoize(() => fingerprintOf(identity)),
 		isKeyInForce: () => key === null || context.table()?.teamsByKey.get(key)?.name === team?.name,
 	});
 };
 
-const refuse = ({logger, metrics, protocol}: ServeContext, request: http.IncomingMessage, response: http.ServerResponse, answer: OwnAnswer): void => {
+const refuse = ({logger, metrics, protocol}: ServeContext, request: http.IncomingMessage, response: http.ServerResponse, answer: LocalReply): void => {
 	metrics.request('none', String(answer.status));
 	logger.event('BP4021', {
 		requestId: request.headers[protocol.headers.requestId], status: answer.status, reason: answer.message, sent: 0, retryAfterMs: answer.retryAfterMs,
 	});
-	// What is left of a body would be taken for the next request's head, so it is read and dropped.
+	// Reads and discards the rest of the body, which would otherwise be parsed as the head of the next request.
 	request.resume();
-	sendOwnAnswer(response, answer);
+	sendLocalReply(response, answer);
 };
 
-const readWholeBody = async (context: ServeContext, request: http.IncomingMessage, response: http.ServerResponse) => {
+const readCompleteBody = async (context: ServeContext, request: http.IncomingMessage, response: http.ServerResponse) => {
 	const {headers} = request;
 	if (headers['content-length'] === undefined && headers['transfer-encoding'] === undefined) {
 		return null;
--- a/packages/gateway/src/limits/endpoint-limits.ts
+++ b/packages/gateway/src/limits/endpoint-limits.ts
@@ -32,13 +32,13 @@
 
 /** Tracks the request rate limits that endpoints advertise in their answers and enforces them jointly with the other entries. */
 export type EndpointLimits = {
-	noteAnswer(answer: EndpointAnswer): void;
+	recordAnswer(answer: EndpointAnswer): void;
 	/** Requests per second accepted from all entries together; `null` if no limit is in force. */
 	perSecondOf(announcement: Announcement): number | null;
 	/** Whether the limit of the endpoint allows a request to be sent now. */
 	stateOf(announcement: Announcement): PermitState;
 	/** Whether any limit is in force. */
-	hasLimited(): boolean;
+	hasLimits(): boolean;
 	/** Requests permits for an endpoint that is at its limit, unless enough are held or a request is pending. */
 	requestPermits(announcement: Announcement): void;
 	/** Consumes a permit for a request that is sent to the endpoint. */
@@ -46,7 +46,7 @@
 	/** Requests the known limits from other entries, once; does nothing until there are peers. */
 	sync(): void;
 	/** Handles a datagram from another entry; `false` if it is of another kind. */
-	hear(data: Buffer): boolean;
+	receive(data: Buffer): boolean;
 	close(): void;
 };
 
@@ -58,9 +58,9 @@
 const peersPerRepeat = 2;
 const peersToSync = 3;
 /** Limits in a datagram, at about 50 bytes each; keeps it within one packet. */
-const mostLimits = 20;
+const maxLimitsPerDatagram = 20;
 /** Limits in one repetition; the next one continues after them. */
-const mostRepeated = 60;
+const maxLimitsPerRepeat = 60;
 
 const available: PermitState = {type: 'available'};
 
@@ -70,7 +70,7 @@
 	let repeatedFrom = 0;
 	/** Number of limits in force; 0 skips the checks for each request. */
 	let limitedCount = 0;
-	let issuing: NodeJS.Timeout | null = null;
+	let issueTimer: NodeJS.Timeout | null = null;
 
 	const sendMessage = (message: LimitMessage, addresses: readonly string[]): void => {
 		if (addresses.length > 0) {
@@ -79,7 +79,7 @@
 	};
 
 	const shareLimits = (limits: readonly SharedLimit[], addresses: readonly string[]): void => {
-		for (const part of chunk(limits, mostLimits)) {
+		for (const part of chunk(limits, maxLimitsPerDatagram)) {
 			sendMessage({type: 'limits', limits: part}, addresses);
 		}
 	};
@@ -94,14 +94,14 @@
 			logger.event(isSilent ? 'BP4043' : 'BP4044', {endpointId: endpointIdIn(start), issuerAddress});
 		},
 		onQueued() {
-			issuing ??= setInterval(issue, issueMs);
+			issueTimer ??= setInterval(issue, issueMs);
 		},
 	});
 
 	const issue = (): void => {
 		if (!exchange.issue()) {
-			clearInterval(issuing ?? undefined);
-			issuing = null;
+			clearInterval(issueTimer ?? undefined);
+			issueTimer = null;
 		}
 	};
 
@@ -153,7 +153,7 @@
 		release();
 		const all = limitsToShare(ledger, nowMs());
 		repeatedFrom = repeatedFrom < all.length ? repeatedFrom : 0;
-		const part = all.slice(repeatedFrom, repeatedFrom + mostRepeated);
+		const part = all.slice(repeatedFrom, repeatedFrom + maxLimitsPerRepeat);
 		repeatedFrom += part.length;
 		shareLimits(part, drawPeers(peers(), peersPerRepeat, random));
 	};
@@ -177,27 +177,27 @@
 					shareLimits(knownLimits(start), [message.entryAddress]);
 				}
 
-				exchange.hearRequest(message);
+				exchange.handleRequest(message);
 				break;
 			}
 
 			case 'reply': {
 				applySharedLimits([message.limit]);
-				exchange.hearReply(message.limit.start, message.reply);
+				exchange.handleReply(message.limit.start, message.reply);
 				break;
 			}
 		}
 	};
 
-	const repeating = setInterval(repeat, repeatMs);
-	const pruning = setInterval(() => {
+	const repeatTimer = setInterval(repeat, repeatMs);
+	const pruneTimer = setInterval(() => {
 		pruneLimits(ledger, nowMs());
 		countLimited();
 		exchange.prune();
 	}, pruneMs);
 	metrics.gauge('limited_endpoints', 'Endpoints that name a limit.', () => limitedCount);
 	return {
-		noteAnswer({announcement, notice, hasRun, sentAtMs}) {
+		recordAnswer({announcement, notice, hasRun, sentAtMs}) {
 			if (notice.type === 'unreadable') {
 				logger.event('BP4042', {endpointId: announcement.id, address: announcement.address, text: notice.text.slice(0, 40)});
 			}
@@ -213,7 +213,7 @@
 		},
 		perSecondOf: announcement => limitedCount === 0 ? null : limitOf(ledger, endpointStartOf(announcement)),
 		stateOf: announcement => limitedCount === 0 ? available : exchange.state(endpointStartOf(announcement)),
-		hasLimited: () => limitedCount > 0,
+		hasLimits: () => limitedCount > 0,
 		requestPermits(announcement) {
 			exchange.request(endpointStartOf(announcement));
 		},
@@ -230,7 +230,7 @@
 			hasSynced = true;
 			sendMessage({type: 'sync', entryAddress: selfAddress}, drawPeers(peers(), peersToSync, random));
 		},
-		hear(data) {
+		receive(data) {
 			const message = decodeLimitMessage(data, nowMs());
 			if (message === null) {
 				return false;
@@ -240,9 +240,9 @@
 			return true;
 		},
 		close() {
-			clearInterval(repeating);
-			clearInterval(pruning);
-			clearInterval(issuing ?? undefined);
+			clearInterval(repeatTimer);
+			clearInterval(pruneTimer);
+			clearInterval(issueTimer ?? undefined);
 		},
 	};
 };
--- a/packages/gateway/src/limits/permit-exchange.ts
+++ b/packages/gateway/src/limits/permit-exchange.ts
@@ -31,8 +31,8 @@
 	/** Consumes a permit for a request that is sent to the endpoint. */
 	use(start: EndpointStart): void;
 	/** Handles a permit request of another entry; ignored unless this entry is the issuer. */
-	hearRequest(request: Extract<LimitMessage, {type: 'request'}>): void;
-	hearReply(start: EndpointStart, reply: PermitReply): void;
+	handleRequest(request: Extract<LimitMessage, {type: 'request'}>): void;
+	handleReply(start: EndpointStart, reply: PermitReply): void;
 	/** Grants available permits to queued requests; `false` if none remain queued. */
 	issue(): boolean;
 	/** Discards permits that were granted under a higher limit. */
@@ -64,7 +64,7 @@
 		}
 	};
 
-	const hearReply = (start: EndpointStart, reply: PermitReply): void => {
+	const handleReply = (start: EndpointStart, reply: PermitReply): void => {
 		const tracked = accounts.get(start);
 		if (tracked === undefined) {
 			return;
@@ -76,7 +76,7 @@
 
 	const deliver = (start: EndpointStart, entryAddress: string, reply: PermitReply): void => {
 		if (entryAddress === selfAddress) {
-			hearReply(start, reply);
+			handleReply(start, reply);
 			return;
 		}
 
@@ -145,14 +145,14 @@
 				}
 			}
 		},
-		hearRequest({entryAddress, count, limit: {start}}) {
+		handleRequest({entryAddress, count, limit: {start}}) {
 			const limit = limitOf(start);
 			// Entries whose lists of entries differ may select different issuers, which would together issue twice the limit.
 			if (limit !== null && issuerOf(start) === selfAddress) {
 				answerRequest(entryAddress, count, limit);
 			}
 		},
-		hearReply,
+		handleReply,
 		issue,
 		discard(start) {
 			discardPermits(trackedFor(start).account);
--- a/packages/gateway/src/load/load-listener.ts
+++ b/packages/gateway/src/load/load-listener.ts
@@ -8,15 +8,15 @@
 
 export type LoadListenerOptions = {
 	readonly listen: string;
-	/** A report that is newer than what was heard of its engine. */
-	onReport(heard: LoadReport): void;
+	/** Called with reports that are newer than the last one received on the same engine. */
+	onReport(report: LoadReport): void;
 	onMessage(message: LoadMessage): void;
-	/** A datagram that is no load message; `false` if it is unknown here too. @default none is known */
-	onOther?(data: Buffer): boolean;
+	/** Called with datagrams that are not load messages; returns `false` if the kind is unknown. @default every kind is unknown */
+	onOtherDatagram?(data: Buffer): boolean;
 	onError(error: Error): void;
 };
 
-/** Hears load reports, from agents and by way of other entries; late ones are dropped. */
+/** Receives load reports from agents, directly or relayed by other entries; drops outdated ones. */
 export type LoadListener = LoadSender & {
 	/** Sends datagrams of other kinds. */
 	readonly datagrams: DatagramSender;
@@ -24,14 +24,14 @@
 };
 
 export const createLoadListener = async ({
-	listen, onReport, onMessage, onOther = () => false, onError,
+	listen, onReport, onMessage, onOtherDatagram = () => false, onError,
 }: LoadListenerOptions): Promise<LoadListener> => {
 	const newest = new Map<string, {epoch: number; sequence: number}>();
 	const socket = dgram.createSocket('udp4');
 
 	const isLate = ({endpointAddress, epoch, sequence}: LoadReport): boolean => {
-		const before = newest.get(endpointAddress);
-		if (before?.epoch === epoch && before.sequence >= sequence) {
+		const last = newest.get(endpointAddress);
+		if (last?.epoch === epoch && last.sequence >= sequence) {
 			return true;
 		}
 
@@ -39,11 +39,11 @@
 		return false;
 	};
 
-	const hear = (data: Buffer): void => {
+	const receive = (data: Buffer): void => {
 		const message = decodeLoadMessage(data);
 		if (message === null) {
-			if (!onOther(data)) {
-				onError(new Error('a datagram of unknown kind'));
+			if (!onOtherDatagram(data)) {
+				onError(new Error('received a datagram of unknown kind'));
 			}
 
 			return;
@@ -58,7 +58,7 @@
 		onMessage(message);
 	};
 
-	socket.on('message', hear);
+	socket.on('message', receive);
 	socket.on('error', onError);
 	const {host, port} = parseAddress(listen);
 	await new Promise<void>((resolve, reject) => {
--- a/packages/gateway/src/load/load-relay.ts
+++ b/packages/gateway/src/load/load-relay.ts
@@ -3,43 +3,43 @@
 
 export type LoadRelayOptions = {
 	plan(): RelayPlan;
-	/** How much longer than at its best an agent's way to this entry takes now. */
+	/** Current delay of the path from an agent to this entry, above the lowest delay observed. */
 	delayMs(endpointAddress: string): number;
 	send(message: LoadMessage, addresses: readonly string[]): void;
 };
 
-/** Passes on between entries what agents report to a few of them. */
+/** Relays the reports that agents send to a few entries to the other entries. */
 export type LoadRelay = {
-	hear(message: LoadMessage, nowMs: number): void;
-	/** One turn: sends what has been reported in the own zone to those beside this entry, and every few turns to the other zones. */
-	tell(nowMs: number): void;
+	receive(message: LoadMessage, nowMs: number): void;
+	/** Must be called every `relayIntervalMs`. Sends new reports of the own zone to the other entries of the zone, and every few calls a digest to the other zones. */
+	tick(nowMs: number): void;
 };
 
-/** How often each relay tells those beside it; two of them make it twice as often. */
-export const turnMs = 100;
-/** How often each relay sends a digest to other zones; one alone still keeps what these know from getting old. */
+/** Interval at which each relay sends to its zone; with two relays per zone, entries receive twice as often. */
+export const relayIntervalMs = 100;
+/** Interval at which each relay sends a digest to other zones; a single relay still suffices to keep the reports there fresh. */
 export const digestEveryMs = 200;
-const turnsPerDigest = digestEveryMs / turnMs;
-/** An engine that was reported on longer ago than this is left out: its host stands still or is cut off, and the others must find that out. */
+const ticksPerDigest = digestEveryMs / relayIntervalMs;
+/** Engines without a report for this long are omitted: their host is stalled or disconnected, and the other entries must be able to detect that. */
 const silentMs = 400;
-/** Reports in a datagram: about 35 bytes each, which fit into one packet. */
-const mostReports = 32;
+/** At about 35 bytes per report, keeps a datagram within one packet. */
+const maxReportsPerDatagram = 32;
 
-type Heard = {readonly report: LoadReport; readonly atMs: number; isPassed: boolean};
+type TrackedReport = {readonly report: LoadReport; readonly atMs: number; isRelayed: boolean};
 
 export const createLoadRelay = ({plan, delayMs, send}: LoadRelayOptions): LoadRelay => {
-	const heard = new Map<string, Heard>();
-	let turns = 0;
+	const tracked = new Map<string, TrackedReport>();
+	let ticks = 0;
 
-	const forget = (nowMs: number): void => {
-		for (const [address, {atMs}] of heard) {
+	const dropSilent = (nowMs: number): void => {
+		for (const [address, {atMs}] of tracked) {
 			if (nowMs - atMs > silentMs) {
-				heard.delete(address);
+				tracked.delete(address);
 			}
 		}
 	};
 
-	const sendAll = (kind: LoadMessage['kind'], chosen: readonly Heard[], addresses: readonly string[], nowMs: number): void => {
+	const sendAll = (kind: LoadMessage['kind'], chosen: readonly TrackedReport[], addresses: readonly string[], nowMs: number): void => {
 		if (addresses.length === 0) {
 			return;
 		}
@@ -47,52 +47,52 @@
 		const reports = chosen.map(({report, atMs}): LoadReport => ({
 			...report, way: {type: 'relayed', ageMs: nowMs - atMs, delayMs: delayMs(report.endpointAddress)},
 		}));
-		for (let from = 0; from < reports.length; from += mostReports) {
-			send({kind, reports: reports.slice(from, from + mostReports)}, addresses);
+		for (let from = 0; from < reports.length; from += maxReportsPerDatagram) {
+			send({kind, reports: reports.slice(from, from + maxReportsPerDatagram)}, addresses);
 		}
 	};
 
-	const tellNear = (nowMs: number): void => {
-		const fresh = [...heard.values()].filter(({isPassed}) => !isPassed);
+	const sendLocally = (nowMs: number): void => {
+		const fresh = [...tracked.values()].filter(({isRelayed}) => !isRelayed);
 		for (const each of fresh) {
-			each.isPassed = true;
+			each.isRelayed = true;
 		}
 
-		sendAll('passed', fresh, plan().nearAddresses, nowMs);
+		sendAll('passed', fresh, plan().localAddresses, nowMs);
 	};
 
 	return {
-		hear(message, nowMs) {
+		receive(message, nowMs) {
 			switch (message.kind) {
 				case 'near': {
 					for (const report of message.reports) {
-						heard.set(report.endpointAddress, {report, atMs: nowMs, isPassed: false});
+						tracked.set(report.endpointAddress, {report, atMs: nowMs, isRelayed: false});
 					}
 
 					break;
 				}
 
 				case 'digest': {
-					send({kind: 'passed', reports: message.reports}, plan().nearAddresses);
+					send({kind: 'passed', reports: message.reports}, plan().localAddresses);
 					break;
 				}
 
-				// Whoever sent these has told everybody.
+				// The sender has sent these to every entry concerned.
 				case 'far':
 				case 'passed': {
 					break;
 				}
 			}
 		},
-		tell(nowMs) {
-			turns++;
-			forget(nowMs);
-			if (plan().passesNear) {
-				tellNear(nowMs);
+		tick(nowMs) {
+			ticks++;
+			dropSilent(nowMs);
+			if (plan().relaysLocally) {
+				sendLocally(nowMs);
 			}
 
-			if (turns % turnsPerDigest === 0) {
-				sendAll('digest', [...heard.values()], plan().farAddresses, nowMs);
+			if (ticks % ticksPerDigest === 0) {
+				sendAll('digest', [...tracked.values()], plan().remoteAddresses, nowMs);
 			}
 		},
 	};
--- a/packages/gateway/src/load/load-report.ts
+++ b/packages/gateway/src/load/load-report.ts
@@ -3,40 +3,40 @@
 import {decode, encode} from '@msgpack/msgpack';
 import * as z from 'zod';
 
-/** How a report came here, and what that tells of its age. */
+/** How a report was delivered, and how to determine its age. */
 export type ReportWay
-	/** From the agent itself; `sentAtMs` is by the agent's clock. */
+	/** Sent by the agent itself; `sentAtMs` is by the agent's clock. */
 	= | {readonly type: 'direct'; readonly sentAtMs: number}
-		/** By way of an entry of the endpoint's zone: how old it is, and how much longer than at its best the agent's way to that entry takes. */
+		/** Relayed by an entry of the endpoint's zone, with the age of the report and the current delay of the path from the agent to that entry, above the lowest delay observed. */
 		| {readonly type: 'relayed'; readonly ageMs: number; readonly delayMs: number};
 
-/** An agent's word on the engine beside it; the next one follows within a fifth of a second. */
+/** An agent's report on the engine on its host; agents send one at least every 200 ms. */
 export type LoadReport = {
-	/** Tells starts of the agent apart. */
+	/** Distinguishes starts of the agent. */
 	readonly epoch: number;
 	readonly sequence: number;
 	readonly endpointAddress: string;
-	/** `null`: the engine cannot be reached. */
+	/** `null` if the engine cannot be reached. */
 	readonly report: EngineReport | null;
 	readonly way: ReportWay;
 };
 
 /**
- * What a datagram holds. `near`: one report, from an agent to entries of its
- * zone that pass it on. `far`: the same, to all others. `digest`: the reports of a
- * zone, from one of its entries to one of another zone. `passed`: reports of the own
- * zone or a digest of another, from the entry that heard them to those beside it.
+ * Content of a datagram. `near`: one report, from an agent to entries of its zone that
+ * relay it. `far`: the same, to all other entries. `digest`: the reports of a zone, from
+ * one of its entries to an entry of another zone. `passed`: reports of the own zone or
+ * a digest of another zone, from the entry that received them to the others of its zone.
  */
 export type LoadMessage = {readonly kind: 'near' | 'far' | 'digest' | 'passed'; readonly reports: readonly LoadReport[]};
 
 const kinds = ['near', 'far', 'digest', 'passed'] as const;
-const ways = {direct: 0, relayed: 1} as const;
-/** An engine's pace is told to the hundredth, as a whole number: a fraction takes nine bytes. */
+const deliveryCodes = {direct: 0, relayed: 1} as const;
+/** The pace is encoded as an integer number of hundredths, because a float takes nine bytes. */
 const paceScale = 100;
 
-/** Without names: these are most of the messages between hosts. */
+/** Encoded without field names to save bytes; most messages between hosts are reports. */
 const reportSchema = z.tuple([z.number(), z.number(), z.number(), z.boolean(), z.boolean(), z.number().nullable(), z.number().nullable()]);
-const itemSchema = z.tuple([z.string(), z.number(), z.number(), z.union([z.literal(ways.direct), z.literal(ways.relayed)]), z.number(), z.number(), reportSchema.nullable()]);
+const itemSchema = z.tuple([z.string(), z.number(), z.number(), z.union([z.literal(deliveryCodes.direct), z.literal(deliveryCodes.relayed)]), z.number(), z.number(), reportSchema.nullable()]);
 const messageSchema = z.tuple([z.number().int().min(0).max(kinds.length - 1), z.array(itemSchema)]);
 type Item = z.infer<typeof itemSchema>;
 
@@ -44,13 +44,13 @@
 	endpointAddress,
 	epoch,
 	sequence,
-	...(way.type === 'direct' ? [ways.direct, Math.round(way.sentAtMs), 0] as const : [ways.relayed, Math.round(way.ageMs), Math.round(way.delayMs)] as const),
+	...(way.type === 'direct' ? [deliveryCodes.direct, Math.round(way.sentAtMs), 0] as const : [deliveryCodes.relayed, Math.round(way.ageMs), Math.round(way.delayMs)] as const),
 	report === null
 		? null
 		: [report.running, report.queued, Math.round(report.pace * paceScale), report.isBusy, report.isStrained, report.version, report.readyInMs],
 ];
 
-const decodeWay = (way: Item[3], timeMs: number, delayMs: number): ReportWay => way === ways.direct
+const decodeDelivery = (way: Item[3], timeMs: number, delayMs: number): ReportWay => way === deliveryCodes.direct
 	? {type: 'direct', sentAtMs: timeMs}
 	: {type: 'relayed', ageMs: timeMs, delayMs};
 
@@ -59,12 +59,12 @@
 });
 
 const decodeItem = ([endpointAddress, epoch, sequence, way, timeMs, delayMs, fields]: Item): LoadReport => ({
-	endpointAddress, epoch, sequence, way: decodeWay(way, timeMs, delayMs), report: fields === null ? null : decodeReport(fields),
+	endpointAddress, epoch, sequence, way: decodeDelivery(way, timeMs, delayMs), report: fields === null ? null : decodeReport(fields),
 });
 
 export const encodeLoadMessage = ({kind, reports}: LoadMessage): Uint8Array => encode([kinds.indexOf(kind), reports.map(report => encodeItem(report))]);
 
-/** `null` if the datagram is no such message. */
+/** Returns `null` if the datagram is of another kind or malformed. */
 export const decodeLoadMessage = (data: Buffer): LoadMessage | null => {
 	const parsed = messageSchema.safeParse(unpack(data));
 	if (!parsed.success) {
--- a/packages/gateway/src/load/load-reporter.ts
+++ b/packages/gateway/src/load/load-reporter.ts
@@ -4,46 +4,46 @@
 import {reportRoutes, type ZonedAddress} from './relay-plan.js';
 
 export type LoadReporterOptions = {
-	/** Address of the engine that the reports are of. */
+	/** Address of the engine that is reported on. */
 	readonly endpointAddress: string;
 	readonly zoneId: string;
-	/** Entries that are told. */
+	/** Entries that receive the reports. */
 	entries(): readonly ZonedAddress[];
 };
 
-/** Tells the entries how the engine fares. */
+/** Sends load reports on an engine to the entries. */
 export type LoadReporter = {
-	/** `isTurning`: what ends or begins service. */
-	send(report: EngineReport | null, isTurning: boolean): void;
+	/** `changesService`: whether the report means that the engine starts or stops serving. */
+	send(report: EngineReport | null, changesService: boolean): void;
 	close(): void;
 };
 
-/** Where nobody passes the agent's reports on, every second one goes to all entries. */
-const farReportEvery = 2;
-const mostEpoch = 0xFF_FF_FF;
+/** Without relays, one in this many reports is sent to the entries of other zones as well. */
+const remoteReportEvery = 2;
+const maxEpoch = 0xFF_FF_FF;
 
 /**
- * Every report goes to a few entries of the agent's own zone, which pass it on.
- * By itself the agent tells all what ends or begins service, since a tenth of a
- * second of requests would go astray until they hear of it. Sent to all by each
- * agent, reports would be half of the bytes between regions, and wake each entry
- * as often as there are engines.
+ * Sends every report to a few entries of the agent's own zone, which relay it. Reports
+ * on the start or stop of service are sent to all entries directly, because relaying
+ * takes about 100 ms, in which requests would be sent to the wrong engines. If every
+ * agent sent all reports to all entries, they would be half of the bytes between
+ * regions and wake each entry once per engine.
  */
 export const createLoadReporter = ({endpointAddress, zoneId, entries}: LoadReporterOptions): LoadReporter => {
-	const epoch = randomInt(mostEpoch);
+	const epoch = randomInt(maxEpoch);
 	const socket = createSendingSocket();
 	const sender = createLoadSender(createDatagramSender(socket));
 	let sequence = 0;
 	return {
-		send(report, isTurning) {
+		send(report, changesService) {
 			sequence++;
 			const reports = [{
 				epoch, sequence, endpointAddress, report, way: {type: 'direct', sentAtMs: performance.now()},
 			}] as const;
-			const {type, near} = reportRoutes(zoneId, entries());
-			sender.send({kind: 'near', reports}, near);
-			if (isTurning || (type === 'all' && sequence % farReportEvery === 0)) {
-				sender.send({kind: 'far', reports}, entries().map(({address}) => address).filter(address => !near.includes(address)));
+			const {type, localAddresses} = reportRoutes(zoneId, entries());
+			sender.send({kind: 'near', reports}, localAddresses);
+			if (changesService || (type === 'all' && sequence % remoteReportEvery === 0)) {
+				sender.send({kind: 'far', reports}, entries().map(({address}) => address).filter(address => !localAddresses.includes(address)));
 			}
 		},
 		close() {
--- a/packages/gateway/src/load/load-socket.ts
+++ b/packages/gateway/src/load/load-socket.ts
@@ -2,13 +2,13 @@
 import {parseAddress} from '@bitternpaddle/transport';
 import {encodeLoadMessage, type LoadMessage} from './load-report.js';
 
-/** Where a datagram goes, taken apart once and not at each of the hundreds that are sent in a second. */
+/** Parsed address; cached because hundreds of datagrams are sent per second. */
 type Target = {readonly host: string; readonly port: number};
 
-/** Sends datagrams; none is known to arrive. */
+/** Sends datagrams without confirmation of delivery. */
 export type DatagramSender = {send(data: Uint8Array, addresses: readonly string[]): void};
 
-/** Sends load messages; one that is lost is followed by the next. */
+/** Sends load messages; lost ones are superseded by the next. */
 export type LoadSender = {send(message: LoadMessage, addresses: readonly string[]): void};
 
 export const createDatagramSender = (socket: dgram.Socket): DatagramSender => {
@@ -41,11 +41,11 @@
 	},
 });
 
-/** A socket for sending only. */
+/** Creates a socket for sending only. */
 export const createSendingSocket = (): dgram.Socket => {
 	const socket = dgram.createSocket('udp4');
 	socket.unref();
-	// A datagram to a host that is gone may come back as an error on the socket: the next one goes to whoever is there then.
+	// A datagram to an unreachable host may cause an error on the socket; later datagrams are sent regardless.
 	socket.on('error', () => undefined);
 	return socket;
 };
--- a/packages/gateway/src/load/relay-plan.ts
+++ b/packages/gateway/src/load/relay-plan.ts
@@ -1,51 +1,52 @@
-/** An entry and where it is. */
+/** Address and availability zone of an entry. */
 export type ZonedAddress = {readonly address: string; readonly zoneId: string};
 
-/** Whom an entry passes reports on to; both empty where others do it. */
+/** The entries that an entry relays reports to; both lists are empty if it is not a relay. */
 export type RelayPlan = {
-	/** Of each other zone one entry, which is sent the digest of the own zone. */
-	readonly farAddresses: readonly string[];
-	/** The others of the own zone, which are passed the digests of other zones. */
-	readonly nearAddresses: readonly string[];
-	/** Whether those hear of the own zone's engines from here, and not from the agents themselves. */
-	readonly passesNear: boolean;
+	/** One entry of each other zone, to which the digest of the own zone is sent. */
+	readonly remoteAddresses: readonly string[];
+	/** The other entries of the own zone, to which digests of other zones are relayed. */
+	readonly localAddresses: readonly string[];
+	/** Whether reports of the own zone are relayed to `localAddresses` too, because agents do not send to all of them. */
+	readonly relaysLocally: boolean;
 };
 
 /**
- * Entries of a zone that pass on its reports, each to a relay of its own in every
- * other zone. With one, the engines of its zone would look silent to all others
- * while it stands still, for the two seconds until it is left out.
+ * Number of entries per zone that relay its reports, each to a different relay of every
+ * other zone. With a single one, a stall of its process would make the engines of its
+ * zone look silent to all other zones for the 2 s until it is removed from the roster.
  */
 export const relaysPerZone = 2;
 
 /**
- * With so many entries each agent tells all of them by itself: what they know is a
- * tenth of a second fresher than by relays, and costs little.
+ * Up to this number of entries, agents send reports to all of them directly: reports
+ * are then 100 ms fresher than through relays, at little cost.
  */
-const mostDirect = 12;
-/** So many entries beside it an agent tells by itself also in a larger fleet; where there are more, it tells the relays. */
-const mostTold = 3;
+const maxDirectEntries = 12;
+/** In larger fleets, agents send directly to all entries of their zone up to this number; with more, only to the relays. */
+const maxDirectLocalEntries = 3;
 
-/** `all`: every entry hears of every second report or more. `relayed`: the agent tells a few, which pass it on. */
-export type ReportRoutes = {readonly type: 'all' | 'relayed'; /** Told of every report. */ readonly near: readonly string[]};
+/** `all`: the agent sends at least every second report to every entry. `relayed`: it sends to a few entries, which relay the reports. */
+export type ReportRoutes = {readonly type: 'all' | 'relayed'; /** Entries of the agent's zone that receive every report. */ readonly localAddresses: readonly string[]};
 
-/** Whom an agent tells. */
+/** Selects the entries that an agent sends its reports to. */
 export const reportRoutes = (zoneId: string, entries: readonly ZonedAddress[]): ReportRoutes => {
-	const near = entries.filter(entry => entry.zoneId === zoneId).map(({address}) => address).toSorted();
-	if (entries.length <= mostDirect || near.length < relaysPerZone) {
-		return {type: 'all', near};
+	const localAddresses = entries.filter(entry => entry.zoneId === zoneId).map(({address}) => address).toSorted();
+	if (entries.length <= maxDirectEntries || localAddresses.length < relaysPerZone) {
+		return {type: 'all', localAddresses};
 	}
 
-	return {type: 'relayed', near: near.length > mostTold ? near.slice(0, relaysPerZone) : near};
+	return {type: 'relayed', localAddresses: localAddresses.length > maxDirectLocalEntries ? localAddresses.slice(0, relaysPerZone) : localAddresses};
 };
 
-export const noRelay: RelayPlan = {farAddresses: [], nearAddresses: [], passesNear: false};
+export const noRelay: RelayPlan = {remoteAddresses: [], localAddresses: [], relaysLocally: false};
 
 /**
- * The relays of a zone are the first of its entries by address: everybody finds
- * the same ones without asking. The first one of a zone sends to the first ones of
- * the others, the second to the second ones, so that a loss ends one of the two ways only.
- * Where there are few entries, or a zone has fewer than that, agents tell all of them themselves, and there are no relays.
+ * The relays of a zone are the first of its entries by address, so all processes select
+ * the same ones without coordination. The first relay of a zone sends to the first relays
+ * of the other zones and the second to the second ones, so that the failure of a relay
+ * interrupts only one of the two paths. If there are few entries in total, or the zone has
+ * fewer than `relaysPerZone`, agents send to all entries directly and there are no relays.
  */
 export const planRelay = (self: ZonedAddress, entries: readonly ZonedAddress[]): RelayPlan => {
 	const byZone = new Map<string, string[]>();
@@ -55,14 +56,14 @@
 
 	const own = (byZone.get(self.zoneId) ?? []).toSorted();
 	const rank = own.indexOf(self.address);
-	if (entries.length <= mostDirect || rank === -1 || rank >= relaysPerZone || own.length < relaysPerZone) {
+	if (entries.length <= maxDirectEntries || rank === -1 || rank >= relaysPerZone || own.length < relaysPerZone) {
 		return noRelay;
 	}
 
 	const others = [...byZone].filter(([zoneId]) => zoneId !== self.zoneId).map(([, addresses]) => addresses.toSorted());
 	return {
-		farAddresses: others.map(addresses => addresses[rank] ?? addresses[0]!),
-		nearAddresses: own.filter(address => address !== self.address),
-		passesNear: own.length > mostTold,
+		remoteAddresses: others.map(addresses => addresses[rank] ?? addresses[0]!),
+		localAddresses: own.filter(address => address !== self.address),
+		relaysLocally: own.length > maxDirectLocalEntries,
 	};
 };
--- a/packages/gateway/src/quarantine/crash-exchange.ts
+++ b/packages/gateway/src/quarantine/crash-exchange.ts
@@ -3,78 +3,78 @@
 	clearancesToRepeat, sightingsToRepeat, type CrashLedger, type Random,
 } from '@bitternpaddle/coordination';
 import {chunk, drawPeers} from '../link/gossip.js';
-import {decodeCrashNews, encodeCrashNews, type CrashNews} from './crash-news.js';
+import {decodeCrashUpdate, encodeCrashUpdate, type CrashUpdate} from './crash-update.js';
 
 export type CrashExchangeOptions = {
 	readonly ledger: CrashLedger;
 	/** The other entries. */
 	peers(): readonly string[];
 	send(data: Uint8Array, addresses: readonly string[]): void;
-	onNews(news: CrashNews): void;
+	onUpdate(update: CrashUpdate): void;
 	readonly random: Random;
 	nowMs(): number;
 };
 
 /**
- * Brings what an entry saw to all others: at once to each of them, and again and
- * again to a few, since datagrams get lost, and an entry may stand still, be cut off
- * or start anew. No core host is needed for it.
+ * Distributes the crash sightings of an entry: immediately to all other entries, and
+ * then periodically to a few of them, because datagrams get lost and an entry may be
+ * stalled, disconnected or restarted. Does not depend on core hosts.
  */
 export type CrashExchange = {
-	tell(news: Pick<CrashNews, 'sightings' | 'clearances'>): void;
-	/** `false` if the datagram is of another kind. */
-	hear(data: Buffer): boolean;
+	broadcast(update: Pick<CrashUpdate, 'sightings' | 'clearances'>): void;
+	/** Handles a datagram from another entry; `false` if it is of another kind. */
+	receive(data: Buffer): boolean;
 	close(): void;
 };
 
-/** Between repetitions; an entry that missed all before knows after two or three of them. */
+/** Interval at which sightings are sent again; an entry that missed all earlier updates has received them after two or three intervals. */
 const repeatMs = 500;
-/** Told at each repetition; every entry is told by as many in the mean. */
+/** Peers that each repetition is sent to; on average, every entry also receives from this many peers. */
 const peersPerRepeat = 2;
-/** In a datagram: with a verdict on each about 80 bytes, which fit into one packet. */
-const mostSightings = 16;
-const mostClearances = 20;
-/** In one repetition; where there is more, the next one goes on behind it. */
-const mostRepeated = 60;
+/** At about 80 bytes per sighting with a verdict, keeps a datagram within one packet. */
+const maxSightingsPerDatagram = 16;
+const maxClearancesPerDatagram = 20;
+/** Sightings in one repetition; the next one continues after them. */
+const maxSightingsPerRepeat = 60;
 
-export const createCrashExchange = ({ledger, peers, send, onNews, random, nowMs}: CrashExchangeOptions): CrashExchange => {
+export const createCrashExchange = ({ledger, peers, send, onUpdate, random, nowMs}: CrashExchangeOptions): CrashExchange => {
 	let repeatedFrom = 0;
 
-	const sendTo = (addresses: readonly string[], {sightings, clearances}: Pick<CrashNews, 'sightings' | 'clearances'>): void => {
+	const sendTo = (addresses: readonly string[], {sightings, clearances}: Pick<CrashUpdate, 'sightings' | 'clearances'>): void => {
 		if (addresses.length === 0) {
 			return;
 		}
 
-		for (const part of chunk(sightings, mostSightings)) {
+		for (const part of chunk(sightings, maxSightingsPerDatagram)) {
 			const condemned = [...new Set(part.map(({fingerprint}) => fingerprint))].filter(fingerprint => ledger.verdicts.has(fingerprint));
-			send(encodeCrashNews({sightings: part, condemned, clearances: []}, nowMs()), addresses);
+			send(encodeCrashUpdate({sightings: part, condemned, clearances: []}, nowMs()), addresses);
 		}
 
-		for (const part of chunk(clearances, mostClearances)) {
-			send(encodeCrashNews({sightings: [], condemned: [], clearances: part}, nowMs()), addresses);
+		for (const part of chunk(clearances, maxClearancesPerDatagram)) {
+			send(encodeCrashUpdate({sightings: [], condemned: [], clearances: part}, nowMs()), addresses);
 		}
 	};
 
 	const repeat = (): void => {
 		const all = sightingsToRepeat(ledger, nowMs());
 		repeatedFrom = repeatedFrom < all.length ? repeatedFrom : 0;
-		const sightings = all.slice(repeatedFrom, repeatedFrom + mostRepeated);
+		const sightings = all.slice(repeatedFrom, repeatedFrom + maxSightingsPerRepeat);
 		repeatedFrom += sightings.length;
 		sendTo(drawPeers(peers(), peersPerRepeat, random), {sightings, clearances: clearancesToRepeat(ledger, nowMs())});
 	};
 
 	const timer = setInterval(repeat, repeatMs);
 	return {
-		tell(news) {
-			sendTo(peers(), news);
+		broadcast(update) {
+			sendTo(peers(), update);
 		},
-		hear(data) {
-			const news = decodeCrashNews(data, nowMs());
-			if (news === null) {
+		receive(data) {
+			const update = decodeCrashUpdate(data, nowMs());
+			if (update === null) {
 				return false;
 			}
 
-			onNews(news);
+			onUpdate(update);
 			return true;
 		},
 		close() {
--- a/packages/gateway/src/quarantine/crash-news.ts
+++ b/packages/gateway/src/quarantine/crash-update.ts
@@ -5,28 +5,28 @@
 import {decode, encode} from '@msgpack/msgpack';
 import * as z from 'zod';
 
-/** What an entry tells others of requests that were at endpoints when these ended. */
-export type CrashNews = {
+/** Message between entries about requests that endpoints had when they exited. */
+export type CrashUpdate = {
 	readonly sightings: readonly CrashSighting[];
-	/** Of these requests those that the teller has a verdict on. */
+	/** The requests among the sightings that the sender has a verdict on. */
 	readonly condemned: readonly RequestFingerprint[];
 	readonly clearances: readonly Clearance[];
 };
 
-/** Tells these datagrams from the load reports that come to the same socket. */
+/** Distinguishes these datagrams from others on the same socket. */
 const kind = 'crash';
 const stages: readonly AnswerStage[] = ['waiting', 'begun', 'answering'];
 const ageSchema = z.number().nonnegative();
 const fingerprintSchema = z.string().min(1).transform(text => text as RequestFingerprint);
-const newsSchema = z.tuple([
+const updateSchema = z.tuple([
 	z.literal(kind),
 	z.array(z.tuple([fingerprintSchema, z.string().min(1), ageSchema, z.number().int().min(0).max(stages.length - 1)])),
 	z.array(fingerprintSchema),
 	z.array(z.tuple([fingerprintSchema, ageSchema])),
 ]);
 
-/** Clocks of hosts differ, so times go as ages. */
-export const encodeCrashNews = ({sightings, condemned, clearances}: CrashNews, nowMs: number): Uint8Array => encode([
+/** Encodes times as ages, because the clocks of hosts differ. */
+export const encodeCrashUpdate = ({sightings, condemned, clearances}: CrashUpdate, nowMs: number): Uint8Array => encode([
 	kind,
 	sightings.map(({fingerprint, address, atMs, stage}) => [fingerprint, address, Math.max(0, Math.round(nowMs - atMs)), stages.indexOf(stage)]),
 	condemned,
@@ -41,9 +41,9 @@
 	}
 };
 
-/** `null` if the datagram is none of these. */
-export const decodeCrashNews = (data: Buffer, nowMs: number): CrashNews | null => {
-	const parsed = newsSchema.safeParse(unpack(data));
+/** Returns `null` if the datagram is of another kind or malformed. */
+export const decodeCrashUpdate = (data: Buffer, nowMs: number): CrashUpdate | null => {
+	const parsed = updateSchema.safeParse(unpack(data));
 	if (!parsed.success) {
 		return null;
 	}
--- a/packages/gateway/src/quarantine/index.ts
+++ b/packages/gateway/src/quarantine/index.ts
@@ -1,3 +1,3 @@
 export * from './crash-exchange.js';
-export * from './crash-news.js';
+export * from './crash-update.js';
 export * from './request-quarantine.js';
--- a/packages/gateway/src/quarantine/request-quarantine.ts
+++ b/packages/gateway/src/quarantine/request-quarantine.ts
@@ -6,9 +6,9 @@
 import type {Logger} from '@bitternpaddle/transport';
 import type {GatewayMetrics} from '../process/gateway-metrics.js';
 import {createCrashExchange} from './crash-exchange.js';
-import type {CrashNews} from './crash-news.js';
+import type {CrashUpdate} from './crash-update.js';
 
-/** What the quarantine must know of a request. */
+/** The properties of a request that the quarantine uses. */
 export type QuarantinedRequest = {
 	outline(): RequestOutline;
 	/** Hashes the body. */
@@ -26,39 +26,39 @@
 };
 
 /**
- * Keeps requests that end the endpoints that run them from all further endpoints.
- * What this entry sees it tells all others, and the other way round.
+ * Prevents requests that crash the endpoints that run them from being sent to further
+ * endpoints. All entries share their sightings of crashes.
  */
 export type RequestQuarantine = {
-	/** Why a request must not be sent to an endpoint; `null` if it may. */
+	/** The verdict that prevents a request from being sent; `null` if it may be sent. */
 	verdictOn(request: QuarantinedRequest): Verdict | null;
-	/** The endpoint's side ended the connection before the answer was whole. */
-	noteBroken(request: QuarantinedRequest, address: string, stage: AnswerStage): void;
-	/** Nothing listens at the endpoint's address any more, or its own host cannot reach it. */
-	noteEnded(address: string): void;
-	/** Another start of an endpoint runs at the address. */
-	noteRestarted(address: string): void;
-	/** An endpoint gave the request a whole answer. */
-	noteCompleted(request: QuarantinedRequest): void;
-	/** Calls `stop` if a verdict on the request comes while it is under way; returns what ends that. */
+	/** Records that the endpoint's side closed the connection before the answer was complete. */
+	recordDisconnect(request: QuarantinedRequest, address: string, stage: AnswerStage): void;
+	/** Records that nothing listens at the endpoint's address any more, or that its own host cannot reach it. */
+	recordExit(address: string): void;
+	/** Records that another start of an endpoint runs at the address. */
+	recordRestart(address: string): void;
+	/** Records that an endpoint completed the answer to the request. */
+	recordCompletion(request: QuarantinedRequest): void;
+	/** Calls `stop` if a verdict on the request is reached while it is in progress; returns a function that removes the watch. */
 	watch(request: QuarantinedRequest, stop: (verdict: Verdict) => void): () => void;
-	/** A datagram of another entry; `false` if it is of another kind. */
-	hear(data: Buffer): boolean;
+	/** Handles a datagram from another entry; `false` if it is of another kind. */
+	receive(data: Buffer): boolean;
 	close(): void;
 };
 
-type Watched = {readonly request: QuarantinedRequest; stop(verdict: Verdict): void};
+type Watcher = {readonly request: QuarantinedRequest; stop(verdict: Verdict): void};
 
 const pruneMs = 5000;
 
 export const createRequestQuarantine = ({peers, send, logger, metrics, random, nowMs}: RequestQuarantineOptions): RequestQuarantine => {
 	const ledger = createCrashLedger();
 	const broken = createBrokenAttempts();
-	const watched = new Set<Watched>();
+	const watchers = new Set<Watcher>();
 
 	const isKnown = (request: QuarantinedRequest): boolean => !isEmpty(ledger) && mayBeKnown(ledger, request.outline());
 
-	const announceVerdict = (verdict: Verdict, isOwn: boolean): void => {
+	const logVerdict = (verdict: Verdict, isOwn: boolean): void => {
 		const now = nowMs();
 		logger.event('BP4029', {
 			fingerprint: verdict.fingerprint, endpoints: verdict.evidence.map(({address}) => address), agesMs: verdict.evidence.map(({atMs}) => Math.round(now - atMs)),
@@ -67,8 +67,8 @@
 		metrics.count('quarantined_requests', 'Verdicts on requests that end endpoints.');
 	};
 
-	const stopWatched = (verdicts: readonly Verdict[]): void => {
-		for (const {request, stop} of watched) {
+	const stopQuarantined = (verdicts: readonly Verdict[]): void => {
+		for (const {request, stop} of watchers) {
 			const verdict = isKnown(request) && verdicts.find(({fingerprint}) => fingerprint === request.fingerprint());
 			if (verdict) {
 				stop(verdict);
@@ -76,60 +76,60 @@
 		}
 	};
 
-	const take = (sightings: readonly CrashSighting[], isOwn: boolean, condemnedElsewhere?: ReadonlySet<RequestFingerprint>): readonly CrashSighting[] => {
-		const news = takeSightings(ledger, sightings, nowMs(), condemnedElsewhere);
-		for (const verdict of news.verdicts) {
-			announceVerdict(verdict, isOwn);
+	const recordSightings = (sightings: readonly CrashSighting[], isOwn: boolean, condemnedElsewhere?: ReadonlySet<RequestFingerprint>): readonly CrashSighting[] => {
+		const recorded = takeSightings(ledger, sightings, nowMs(), condemnedElsewhere);
+		for (const verdict of recorded.verdicts) {
+			logVerdict(verdict, isOwn);
 		}
 
-		if (news.verdicts.length > 0) {
-			stopWatched(news.verdicts);
+		if (recorded.verdicts.length > 0) {
+			stopQuarantined(recorded.verdicts);
 		}
 
-		return news.sightings;
+		return recorded.sightings;
 	};
 
-	const takeOwn = (ended: readonly BrokenAttempt[]): void => {
-		if (ended.length === 0) {
+	const recordOwn = (attempts: readonly BrokenAttempt[]): void => {
+		if (attempts.length === 0) {
 			return;
 		}
 
-		exchange.tell({sightings: take(ended, true), clearances: []});
+		exchange.broadcast({sightings: recordSightings(attempts, true), clearances: []});
 	};
 
-	const takeNews = ({sightings, condemned, clearances}: CrashNews): void => {
+	const applyUpdate = ({sightings, condemned, clearances}: CrashUpdate): void => {
 		for (const clearance of clearances) {
 			clearRequest(ledger, clearance, nowMs());
 		}
 
-		take(sightings, false, new Set(condemned));
+		recordSightings(sightings, false, new Set(condemned));
 	};
 
 	const exchange = createCrashExchange({
-		ledger, peers, send, random, nowMs, onNews: takeNews,
+		ledger, peers, send, random, nowMs, onUpdate: applyUpdate,
 	});
-	const pruning = setInterval(() => {
+	const pruneTimer = setInterval(() => {
 		pruneLedger(ledger, nowMs());
 	}, pruneMs);
 	metrics.gauge('quarantine_verdicts', 'Requests that are sent to no endpoint.', () => ledger.verdicts.size);
 	metrics.gauge('quarantine_ends', 'Ends of endpoints that requests may have caused.', () => ledger.ends.length);
 	return {
 		verdictOn: request => isKnown(request) ? verdictOn(ledger, request.fingerprint(), nowMs()) : null,
-		noteBroken(request, address, stage) {
+		recordDisconnect(request, address, stage) {
 			const attempt = {
 				fingerprint: request.fingerprint(), address, atMs: nowMs(), stage,
 			};
 			if (noteBroken(broken, attempt)) {
-				takeOwn([attempt]);
+				recordOwn([attempt]);
 			}
 		},
-		noteEnded(address) {
-			takeOwn(confirmEnded(broken, address, nowMs()));
+		recordExit(address) {
+			recordOwn(confirmEnded(broken, address, nowMs()));
 		},
-		noteRestarted(address) {
-			takeOwn(confirmRestarted(broken, address, nowMs()));
+		recordRestart(address) {
+			recordOwn(confirmRestarted(broken, address, nowMs()));
 		},
-		noteCompleted(request) {
+		recordCompletion(request) {
 			if (!isKnown(request)) {
 				return;
 			}
@@ -137,19 +137,19 @@
 			const clearance = {fingerprint: request.fingerprint(), atMs: nowMs()};
 			const hadVerdict = ledger.verdicts.has(clearance.fingerprint);
 			if (clearRequest(ledger, clearance, nowMs()) && hadVerdict) {
-				exchange.tell({sightings: [], clearances: [clearance]});
+				exchange.broadcast({sightings: [], clearances: [clearance]});
 			}
 		},
 		watch(request, stop) {
-			const entry = {request, stop};
-			watched.add(entry);
+			const watcher = {request, stop};
+			watchers.add(watcher);
 			return () => {
-				watched.delete(entry);
+				watchers.delete(watcher);
 			};
 		},
-		hear: exchange.hear,
+		receive: exchange.receive,
 		close() {
-			clearInterval(pruning);
+			clearInterval(pruneTimer);
 			exchange.close();
 		},
 	};
--- a/packages/gateway/test/attempt.test.ts
+++ b/packages/gateway/test/attempt.test.ts
@@ -12,7 +12,7 @@
 
 type Respond = (socket: Socket, request: string) => void;
 
-/** An endpoint that answers each request as `respond` does, byte by byte. */
+/** Starts an endpoint whose raw responses are written by `respond`. */
 const listen = async (t: Test, respond: Respond): Promise<{address: string; connections: () => number}> => {
 	let connections = 0;
 	const sockets = new Set<Socket>();
@@ -44,17 +44,17 @@
 const create = (t: Test) => {
 	const connections = createEndpointConnections();
 	t.teardown(connections.close);
-	return async (address: string, requestId: string, options: {stallMs?: number | null; signal?: AbortSignal; isDelicate?: boolean} = {}): Promise<AttemptResult> => sendAttempt({
-		connections, headerNames: names, address, method: 'GET', path: '/', headers: {'x-id': requestId}, requestId, body: null, isDelicate: false, limits: {
-			firstByteMs: options.stallMs ?? null, longestFirstByteMs: options.stallMs ?? null, pauseMs: null, isReported: () => false,
+	return async (address: string, requestId: string, options: {stallMs?: number | null; signal?: AbortSignal; requiresFreshConnection?: boolean} = {}): Promise<AttemptResult> => sendAttempt({
+		connections, headerNames: names, address, method: 'GET', path: '/', headers: {'x-id': requestId}, requestId, body: null, requiresFreshConnection: false, limits: {
+			firstByteMs: options.stallMs ?? null, maxFirstByteMs: options.stallMs ?? null, pauseMs: null, isReported: () => false,
 		}, beginWithinMs: null,
 		signal: new AbortController().signal, onHead: () => undefined, onFirstByte: () => undefined, onEvents: () => undefined, ...(options.signal !== undefined && {signal: options.signal}),
 	});
 };
 
-// An endpoint sends a second answer behind the first, on a connection that is then
-// idle. The next request on it would be given that answer as its own.
-t.test('bytes on an idle connection end it', async t => {
+// Guards against an answer being attributed to the wrong request: an endpoint sends a
+// second answer on a connection that is idle, and the next request on it would get it.
+t.test('unsolicited bytes on an idle connection close it', async t => {
 	const endpoint = await listen(t, (socket, request) => {
 		socket.write(answer(idOf(request), 'first'));
 		setTimeout(() => {
@@ -70,7 +70,7 @@
 	t.equal(endpoint.connections(), 2);
 });
 
-t.test('a connection is used again', async t => {
+t.test('a connection is reused', async t => {
 	const endpoint = await listen(t, (socket, request) => {
 		socket.write(answer(idOf(request), 'whole'));
 	});
@@ -85,23 +85,23 @@
 	t.equal(endpoint.connections(), 1);
 });
 
-// An answer to another request arrives where this one's is due. It must not be
-// passed on; whether this request ran is not known.
-t.test('an answer to another request is not taken', async t => {
+// Guards against forwarding the answer to another request that arrives in place of this
+// request's answer; whether this request ran is unknown.
+t.test('an answer to another request is rejected', async t => {
 	const endpoint = await listen(t, socket => {
 		socket.write(answer('other', 'not yours'));
 	});
 	t.match(await create(t)(endpoint.address, 'mine'), {type: 'broken', reason: /request other/v});
 });
 
-t.test('an answer that ends early is not whole', async t => {
+t.test('a truncated answer is incomplete', async t => {
 	const endpoint = await listen(t, (socket, request) => {
 		socket.end(answer(idOf(request), 'whole').slice(0, -2));
 	});
 	t.match(await create(t)(endpoint.address, 'one'), {type: 'broken'});
 });
 
-t.test('an answer without a length ends with its connection, and is not whole if that is reset', async t => {
+t.test('an answer without a length ends with its connection, and is incomplete if the connection is reset', async t => {
 	const endpoint = await listen(t, (socket, request) => {
 		socket.write(`HTTP/1.1 200 OK\r\nx-id: ${idOf(request)}\r\nx-signature: s\r\nconnection: close\r\n\r\nbody`);
 		setTimeout(() => {
@@ -117,21 +117,21 @@
 	t.match(await send(endpoint.address, 'reset'), {type: 'broken'});
 });
 
-t.test('garbage behind a whole answer does not spoil it', async t => {
+t.test('garbage after a complete answer is ignored', async t => {
 	const endpoint = await listen(t, (socket, request) => {
 		socket.write(`${answer(idOf(request), 'whole')}@@garbage@@`);
 	});
 	t.match(await create(t)(endpoint.address, 'one'), {type: 'answered', body: Buffer.from('whole')});
 });
 
-t.test('an endpoint\'s word that it did not run a request is told from a failure', async t => {
+t.test('a statement of the endpoint that it did not run a request is distinguished from a failure', async t => {
 	const endpoint = await listen(t, (socket, request) => {
 		socket.write(`HTTP/1.1 503 Full\r\nx-id: ${idOf(request)}\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n`);
 	});
 	t.match(await create(t)(endpoint.address, 'one'), {type: 'refused', head: {status: 503}});
 });
 
-t.test('a connection that never came about proves that nothing was sent', async t => {
+t.test('a failed connection attempt proves that nothing was sent', async t => {
 	const endpoint = await listen(t, () => undefined);
 	const {address} = endpoint;
 	const closed = createServer();
@@ -143,24 +143,24 @@
 		closed.close(resolve);
 	});
 	t.match(await create(t)(`127.0.0.1:${port}`, 'one'), {type: 'unsent'});
-	t.match(await create(t)(address, 'two', {stallMs: 60}), {type: 'broken', reason: /silent/v}, 'silence after it was sent proves nothing');
+	t.match(await create(t)(address, 'two', {stallMs: 60}), {type: 'broken', reason: /silent/v}, 'a timeout after the request was sent proves nothing');
 });
 
-// A caller leaves while its request runs. The connection to the endpoint must be
-// closed at once, which stops the work.
-t.test('an attempt that is aborted closes its connection', async t => {
+// Guards against running a request for a caller that has disconnected: the connection to
+// the endpoint must be closed at once, which makes the endpoint abort the request.
+t.test('an aborted attempt closes its connection', async t => {
 	let isClosed = false;
 	const endpoint = await listen(t, socket => {
 		socket.on('close', () => {
 			isClosed = true;
 		});
 	});
-	const ended = new AbortController();
-	const sent = create(t)(endpoint.address, 'one', {signal: ended.signal});
+	const caller = new AbortController();
+	const sent = create(t)(endpoint.address, 'one', {signal: caller.signal});
 	await new Promise(resolve => {
 		setTimeout(resolve, 40);
 	});
-	ended.abort();
+	caller.abort();
 	t.match(await sent, {type: 'aborted'});
 	await new Promise(resolve => {
 		setTimeout(resolve, 40);
--- a/packages/gateway/test/entry-lease.test.ts
+++ b/packages/gateway/test/entry-lease.test.ts
@@ -5,48 +5,48 @@
 
 const createLease = () => {
 	const world = {
-		nowMs: 10_000, number: -1, reachesCore: false, asked: 0,
+		nowMs: 10_000, number: -1, reachesCore: false, refreshCount: 0,
 	};
 	const lease = createEntryLease({
 		revocationMs: 5000, clock: {nowMs: () => world.nowMs}, random: createRandom(1), logger: silentLogger, configurationNumber: () => world.number,
-		reachesCore: () => world.reachesCore, askCore() {
-			world.asked++;
+		reachesCore: () => world.reachesCore, refreshFromCore() {
+			world.refreshCount++;
 		},
 	});
 	return {lease, world};
 };
 
-// A core host knows a newer configuration than this entry, in which a key was taken
-// away. What it says of its own freshness must not count before the entry holds that
-// configuration, or the old key would be served on.
-t.test('what a core host held renews the lease once it is held here too', async t => {
+// Guards against accepting a revoked key: a core host holds a newer configuration than
+// this entry, in which the key is revoked, and its freshness must not renew the lease
+// before the entry holds that configuration.
+t.test('a renewal takes effect once the entry holds the configuration of the core host', async t => {
 	const {lease, world} = createLease();
-	lease.hear({number: 3, freshAtMs: 9990});
+	lease.recordRenewal({number: 3, freshAtMs: 9990});
 	t.notOk(lease.holds());
 	world.number = 3;
-	lease.settle();
+	lease.applyRenewals();
 	t.ok(lease.holds());
 	world.nowMs = 9990 + 4000;
-	t.notOk(lease.holds(), 'and for four fifths of the bound by which a revoked key is dead');
+	t.notOk(lease.holds(), 'the lease lasts for four fifths of the revocation bound');
 });
 
-t.test('while it is not held, the core is asked four times a second', async t => {
+t.test('while the lease is not held, an update is requested from the core four times per second', async t => {
 	const {lease, world} = createLease();
 	for (; world.nowMs < 11_000; world.nowMs += 10) {
 		lease.holds();
 	}
 
-	t.ok(world.asked >= 3 && world.asked <= 5, `${world.asked} times in a second`);
+	t.ok(world.refreshCount >= 3 && world.refreshCount <= 5, `${world.refreshCount} times in a second`);
 });
 
-t.test('when callers should come back tells what this entry knows of the core', async t => {
+t.test('the retry delay for callers depends on the state of the entry and the core', async t => {
 	const {lease, world} = createLease();
-	t.equal(lease.retryMs(), 2000, 'it starts, most likely with everything else');
+	t.equal(lease.retryMs(), 2000, 'the entry starts, most likely together with the whole system');
 	world.number = 1;
-	lease.hear({number: 1, freshAtMs: 10_000});
+	lease.recordRenewal({number: 1, freshAtMs: 10_000});
 	t.ok(lease.hasHeld());
 	world.nowMs = 20_000;
-	t.equal(lease.retryMs(), 100, 'it is cut off: other entries are not');
+	t.equal(lease.retryMs(), 100, 'the entry is disconnected from the core, other entries are not');
 	world.reachesCore = true;
-	t.ok(lease.retryMs() >= 1200, 'the core elects a leader, which is no better elsewhere');
+	t.ok(lease.retryMs() >= 1200, 'the core elects a leader, which affects all entries alike');
 });
--- a/packages/gateway/test/entry-node.test.ts
+++ b/packages/gateway/test/entry-node.test.ts
@@ -53,7 +53,7 @@
 	response.end('id: 1\ndata: a\n\n');
 };
 
-/** A core host, an entry and one engine, all in this process; `stepClockMs` moves the entry's time of day. */
+/** Starts a core host, an entry and one engine in this process; `stepClockMs` steps the wall clock of the entry. */
 const deploy = async (t: Test, serve: Serve) => {
 	const engineState: {version: number | null; readyInMs: number | null} = {version: 1, readyInMs: null};
 	const [core, entry, front, readiness] = await freeAddresses(4);
@@ -115,10 +115,10 @@
 	};
 };
 
-// The time of day jumps ahead on an entry's host. Its leases end early, which costs
-// one question to the core. Nothing else may go by that clock: every engine would
-// look as if its reports had taken seconds, and every request would be refused.
-t.test('a step of the time of day refuses nobody', async t => {
+// Guards against refusing all requests after a step of the wall clock: only the lease may use that
+// clock, where a step costs one request to the core. Otherwise the reports of every engine would
+// look seconds old.
+t.test('no request is refused after a step of the wall clock', async t => {
 	const {call, stepClockMs} = await deploy(t, stream);
 	stepClockMs(2400);
 	await delay(300);
@@ -126,9 +126,9 @@
 	t.same(answers.map(({status}) => status), [200, 200, 200, 200, 200]);
 });
 
-// A caller leaves while its request runs at the engine. The engine must learn of
-// it at once, by the end of its connection.
-t.test('the work for a caller that left is stopped', async t => {
+// Guards against an engine running a request whose caller has disconnected: the entry must close
+// the connection to the engine at once.
+t.test('the request of a caller that disconnects is aborted', async t => {
 	const closed: string[] = [];
 	const started: string[] = [];
 	const {call} = await deploy(t, (request, response) => {
@@ -144,13 +144,13 @@
 		});
 	});
 	const leaving = new AbortController();
-	const left = call('leaves-1', leaving.signal).catch(() => undefined);
+	const aborted = call('leaves-1', leaving.signal).catch(() => undefined);
 	while (started.length === 0) {
 		await delay(10);
 	}
 
 	leaving.abort();
-	await left;
+	await aborted;
 	while (closed.length === 0) {
 		await delay(10);
 	}
@@ -159,9 +159,9 @@
 	t.equal((await call('stays')).status, 200);
 });
 
-// An engine takes a request and never answers. The caller's deadline passes: it
-// may have run, so the answer must not promise that it did not.
-t.test('a deadline that passes promises nothing', async t => {
+// Guards against reporting a request as not run after an engine accepted it and never answered: at
+// the caller's deadline it may have run.
+t.test('a request that times out at an engine is not reported as not run', async t => {
 	const {call} = await deploy(t, (request, response) => {
 		if (!String(request.headers['x-id']).startsWith('silent')) {
 			stream(request, response);
@@ -171,9 +171,9 @@
 	t.ok(answer.status === 502 || answer.status === 504, `status ${answer.status}`);
 });
 
-// An engine answers without a length and dies: its answer ends as a whole one
-// would. Framed by the entry it would look whole to the caller for certain.
-t.test('an answer that ends with its connection is passed on as one', async t => {
+// Guards against marking a truncated answer as complete: an engine that answers without a length
+// and crashes ends its answer like a complete one, so the entry must not add framing.
+t.test('an answer that ends with its connection is forwarded without added framing', async t => {
 	const {call} = await deploy(t, (request, response) => {
 		const id = String(request.headers['x-id']);
 		if (id === 'unframed') {
@@ -195,10 +195,10 @@
 	t.equal((await call('framed')).headers['transfer-encoding'], 'chunked');
 });
 
-// Everything lost power and starts again; the entry is up a second before the core
-// has a leader and three before the first engine. A caller that is told to come back
-// after half a second finds nobody either, and has no further try.
-t.test('an entry that has not found the core since its start sends callers away for as long as a start takes', async t => {
+// Guards against a retry delay that is too short after a power loss of the whole system: the entry
+// starts 1 s before the core has a leader and 3 s before the first engine. A caller that retries
+// after 0.5 s would be refused again and has no further retry.
+t.test('an entry that has not reached the core since its start returns a retry delay that covers the start of the system', async t => {
 	const [nobody, entry, front, readiness] = await freeAddresses(4);
 	const clock = createSuspendAwareClock({steadyNowMs: () => performance.now(), wallNowMs: () => Date.now()});
 	const entryNode = await createEntryNode({
@@ -216,70 +216,70 @@
 	});
 	await readBody(response);
 	t.equal(response.statusCode, 503);
-	t.ok(Number(response.headers['retry-after']) >= 2, `come back after ${response.headers['retry-after']} s`);
+	t.ok(Number(response.headers['retry-after']) >= 2, `retry after ${response.headers['retry-after']} s`);
 });
 
-// The engine has lost its weights and is being filled. A caller that comes for the
-// first time is told when to come back; one that has come back, with a second and a
-// half left and no further try, waits for the engine and is answered.
-t.test('a caller that came back is answered by the engine that gets ready in time', async t => {
+// Guards against refusing a caller retry while an engine loads its weights: a first attempt is refused
+// with a retry delay, but a caller retry, which has 1.5 s left and no further retry, must wait for the
+// engine and be answered.
+t.test('a caller retry is answered by an engine that becomes ready in time', async t => {
 	const {call, engineState} = await deploy(t, stream);
 	engineState.version = null;
 	engineState.readyInMs = 300;
 	await delay(150);
-	const first = await call('first-time');
+	const first = await call('first-attempt');
 	t.equal(first.status, 503);
-	const returnS = Number(first.headers['retry-after']);
-	t.ok(returnS >= 0.3 && returnS <= 0.8, `the engine is ready in 0.3 s, it should come back after ${returnS}`);
-	const cameBack = call('came-back', undefined, 1500);
+	const retryS = Number(first.headers['retry-after']);
+	t.ok(retryS >= 0.3 && retryS <= 0.8, `the engine is ready in 0.3 s, the retry delay in seconds is ${retryS}`);
+	const retry = call('retry', undefined, 1500);
 	await delay(400);
 	engineState.version = 1;
 	engineState.readyInMs = null;
-	t.equal((await cameBack).status, 200);
+	t.equal((await retry).status, 200);
 });
 
-t.test('a caller that came back is not kept waiting for an engine that will be too late', async t => {
+t.test('a caller retry does not wait for an engine that becomes ready too late', async t => {
 	const {call, engineState} = await deploy(t, stream);
 	engineState.version = null;
 	engineState.readyInMs = 5000;
 	await delay(150);
-	const answer = await call('came-back', undefined, 1500);
+	const answer = await call('retry', undefined, 1500);
 	t.equal(answer.status, 503);
 });
 
-// A caller comes back with less time left than an answer takes. The engine would
-// begin it, and the caller would be gone before the last event.
-t.test('a request whose answer cannot be whole in time is not begun', async t => {
-	const begun: string[] = [];
+// Guards against starting a request whose caller disconnects before the last event: a caller retry
+// has less time left than an answer takes.
+t.test('a request whose answer cannot be completed in time is not sent', async t => {
+	const started: string[] = [];
 	const {call} = await deploy(t, (request, response) => {
-		begun.push(String(request.headers['x-id']));
+		started.push(String(request.headers['x-id']));
 		stream(request, response);
 	});
 	const answer = await call('too-late', undefined, 60);
 	t.equal(answer.status, 503);
-	t.notOk(begun.includes('too-late'));
+	t.notOk(started.includes('too-late'));
 	t.equal((await call('in-time', undefined, 600)).status, 200);
 });
 
-// An entry is told to end. Its caller goes on with the connection that it has, and
-// sends a stream that takes longer than the entry has left. Begun, it would be cut
-// with the entry after it ran; refused as not run, it goes to another entry at once.
-t.test('an entry that ends begins nothing that it would cut', async t => {
-	const begun: string[] = [];
+// Guards against cutting off a stream at shutdown: after the stop signal, a caller sends a request on
+// its open connection whose answer takes longer than the rest of the grace period. Refused as not run,
+// the request can be sent to another entry at once.
+t.test('an entry that is shutting down starts no request that it would cut off', async t => {
+	const started: string[] = [];
 	const {front, entryNode} = await deploy(t, (request, response) => {
-		begun.push(String(request.headers['x-id']));
+		started.push(String(request.headers['x-id']));
 		stream(request, response);
 	});
 	const agent = new http.Agent({keepAlive: true, maxSockets: 1});
 	t.teardown(() => {
 		agent.destroy();
 	});
-	const ask = async (id: string, mostTokens: number): Promise<http.IncomingMessage> => {
+	const send = async (id: string, maxTokens: number): Promise<http.IncomingMessage> => {
 		const {host, port} = parseAddress(front);
 		const response = await new Promise<http.IncomingMessage>((resolve, reject) => {
 			http.request({
 				host, port, agent, method: 'POST', path: '/x', headers: {
-					host: 'a.example', 'x-id': id, 'x-deadline': '6000', 'x-tokens': String(mostTokens),
+					host: 'a.example', 'x-id': id, 'x-deadline': '6000', 'x-tokens': String(maxTokens),
 				},
 			}, resolve).on('error', reject).end('hello');
 		});
@@ -287,18 +287,18 @@
 		return response;
 	};
 
-	t.equal((await ask('before', 10_000)).statusCode, 200);
+	t.equal((await send('before', 10_000)).statusCode, 200);
 	const stopped = entryNode.stop();
-	const long = await ask('long', 10_000);
+	const long = await send('long', 10_000);
 	t.equal(long.statusCode, 503);
-	t.ok(Number(long.headers['retry-after']) < 0.1, 'another entry takes it at once');
+	t.ok(Number(long.headers['retry-after']) < 0.1, 'another entry can accept it at once');
 	t.equal(long.headers.connection, 'close');
-	t.notOk(begun.includes('long'));
+	t.notOk(started.includes('long'));
 	await stopped;
 });
 
-// The same entry with the time that a short answer needs: it must not be refused.
-t.test('an entry that ends still begins what surely ends before', async t => {
+// Guards against refusing a short answer that completes within the rest of the grace period.
+t.test('an entry that is shutting down still starts requests that complete in time', async t => {
 	const {call, entryNode} = await deploy(t, stream);
 	const stopped = entryNode.stop();
 	t.equal((await call('short')).status, 200);
--- a/packages/gateway/test/leaving-endpoints.test.ts
+++ b/packages/gateway/test/leaving-endpoints.test.ts
@@ -7,7 +7,7 @@
 	const state = {isLeaving: false};
 	const events: string[] = [];
 	const fleet = await createCrashingFleet(t, {
-		engineCount: 3, treat: () => ({type: 'stream', pauseMs: 100}), answerHeaders: engine => state.isLeaving && engine === 0 ? {'x-leaving': '1'} : {}, logger: {
+		engineCount: 3, behaviorOf: () => ({type: 'stream', pauseMs: 100}), answerHeaders: engine => state.isLeaving && engine === 0 ? {'x-leaving': '1'} : {}, logger: {
 			event(event) {
 				events.push(event);
 			},
--- a/packages/gateway/test/limit-message.test.ts
+++ b/packages/gateway/test/limit-message.test.ts
@@ -28,7 +28,7 @@
 	}
 });
 
-t.test('a datagram with the most limits fits into one packet', async t => {
+t.test('a datagram with the maximum number of limits fits into one packet', async t => {
 	const limits = Array.from({length: 20}, (_, index) => ({start: `i-0123456789ab${index}@1764756000000` as EndpointStart, perSecond: 12.345, heardAtMs: 0}));
 	t.ok(encodeLimitMessage({type: 'limits', limits}, 600_000).length < 1400);
 });
--- a/packages/gateway/test/load-relay.test.ts
+++ b/packages/gateway/test/load-relay.test.ts
@@ -14,113 +14,113 @@
 
 const entriesOf = (perZone: number): ZonedAddress[] => ['a', 'b', 'c'].flatMap(zoneId => Array.from({length: perZone}, (_, index) => ({address: `${zoneId}${index}`, zoneId})));
 
-t.test('a message is read as it was written', async t => {
+t.test('messages round-trip', async t => {
 	const message: LoadMessage = {
 		kind: 'digest', reports: [{...report('10.0.0.1:80'), way: {type: 'relayed', ageMs: 120, delayMs: 3}}, {...report('10.0.0.2:80'), report: null}],
 	};
 	t.same(decodeLoadMessage(Buffer.from(encodeLoadMessage(message))), message);
 });
 
-t.test('what is no message is told from one', async t => {
+t.test('other datagrams are not decoded', async t => {
 	for (const data of [Buffer.from('hello'), Buffer.alloc(0), Buffer.from([0xC1]), Buffer.from(encodeLoadMessage({kind: 'near', reports: [report('x')]})).subarray(0, 12)]) {
 		t.equal(decodeLoadMessage(data), null);
 	}
 });
 
-// Each zone has two relays, and each sends to one relay of every other zone: a loss
-// of any of them ends one of two ways, and nobody has to be asked who relays.
-t.test('two entries of a zone pass on its reports, each to its like in the other zones', async t => {
+// Guards against losing a zone's reports with a single relay: each zone has two relays, each of
+// which sends to a different relay of every other zone, selected without coordination.
+t.test('two entries of a zone relay its reports, each to its counterpart in the other zones', async t => {
 	const entries = entriesOf(5);
-	t.same(planRelay({address: 'a0', zoneId: 'a'}, entries), {farAddresses: ['b0', 'c0'], nearAddresses: ['a1', 'a2', 'a3', 'a4'], passesNear: true});
-	t.same(planRelay({address: 'a1', zoneId: 'a'}, entries), {farAddresses: ['b1', 'c1'], nearAddresses: ['a0', 'a2', 'a3', 'a4'], passesNear: true});
-	t.same(planRelay({address: 'a2', zoneId: 'a'}, entries), {farAddresses: [], nearAddresses: [], passesNear: false});
+	t.same(planRelay({address: 'a0', zoneId: 'a'}, entries), {remoteAddresses: ['b0', 'c0'], localAddresses: ['a1', 'a2', 'a3', 'a4'], relaysLocally: true});
+	t.same(planRelay({address: 'a1', zoneId: 'a'}, entries), {remoteAddresses: ['b1', 'c1'], localAddresses: ['a0', 'a2', 'a3', 'a4'], relaysLocally: true});
+	t.same(planRelay({address: 'a2', zoneId: 'a'}, entries), {remoteAddresses: [], localAddresses: [], relaysLocally: false});
 });
 
-t.test('a zone with one entry has no relays, and is told by both of the others', async t => {
+t.test('a zone with one entry has no relays, and receives from both relays of another zone', async t => {
 	const entries = [...entriesOf(6).filter(({zoneId}) => zoneId !== 'b'), {address: 'b0', zoneId: 'b'}];
-	t.same(planRelay({address: 'b0', zoneId: 'b'}, entries).farAddresses, []);
-	t.same(planRelay({address: 'a1', zoneId: 'a'}, entries).farAddresses.toSorted(), ['b0', 'c1']);
+	t.same(planRelay({address: 'b0', zoneId: 'b'}, entries).remoteAddresses, []);
+	t.same(planRelay({address: 'a1', zoneId: 'a'}, entries).remoteAddresses.toSorted(), ['b0', 'c1']);
 });
 
-t.test('an entry that is not listed yet passes nothing on', async t => {
-	t.same(planRelay({address: 'a9', zoneId: 'a'}, entriesOf(2)).farAddresses, []);
+t.test('an entry that is not listed yet relays nothing', async t => {
+	t.same(planRelay({address: 'a9', zoneId: 'a'}, entriesOf(2)).remoteAddresses, []);
 });
 
-const relayWith = (passesNear: boolean) => {
+const relayWith = (relaysLocally: boolean) => {
 	const sent: LoadMessage[] = [];
 	const relay = createLoadRelay({
-		plan: () => ({farAddresses: ['b0'], nearAddresses: ['a1'], passesNear}), delayMs: () => 5, send(message) {
+		plan: () => ({remoteAddresses: ['b0'], localAddresses: ['a1'], relaysLocally}), delayMs: () => 5, send(message) {
 			sent.push(message);
 		},
 	});
-	return {relay, told: () => sent.map(({kind, reports}) => [kind, reports.map(({endpointAddress, way}) => [endpointAddress, way.type === 'relayed' ? way.ageMs : null])])};
+	return {relay, sentReports: () => sent.map(({kind, reports}) => [kind, reports.map(({endpointAddress, way}) => [endpointAddress, way.type === 'relayed' ? way.ageMs : null])])};
 };
 
-// An agent stands still. The relay must not go on telling what it heard last: the
-// engine would look idle to all other zones for as long as that lasts.
-t.test('a digest tells how old a report is, and leaves out what has grown old', async t => {
-	const {relay, told} = relayWith(false);
-	relay.hear({kind: 'near', reports: [report('e1')]}, 0);
+// Guards against relaying an outdated report while an agent is stalled: the engine would look
+// idle to all other zones for the duration of the stall.
+t.test('a digest contains the ages of its reports and omits outdated ones', async t => {
+	const {relay, sentReports} = relayWith(false);
+	relay.receive({kind: 'near', reports: [report('e1')]}, 0);
 	for (let nowMs = 100; nowMs <= 900; nowMs += 100) {
 		if (nowMs === 300) {
-			relay.hear({kind: 'near', reports: [report('e2')]}, 250);
-			relay.hear({kind: 'far', reports: [report('e3')]}, 250);
+			relay.receive({kind: 'near', reports: [report('e2')]}, 250);
+			relay.receive({kind: 'far', reports: [report('e3')]}, 250);
 		}
 
-		relay.tell(nowMs);
+		relay.tick(nowMs);
 	}
 
-	t.same(told(), [
+	t.same(sentReports(), [
 		['digest', [['e1', 200]]],
 		['digest', [['e1', 400], ['e2', 150]]],
 		['digest', [['e2', 350]]],
 	]);
 });
 
-// A zone has so many entries that its agents tell two of them only. Those beside must
-// hear of each report once, and soon: they send the most requests there.
-t.test('what was reported is passed to the entries beside, each report once', async t => {
-	const {relay, told} = relayWith(true);
-	relay.hear({kind: 'near', reports: [report('e1')]}, 40);
-	relay.tell(100);
-	relay.hear({kind: 'near', reports: [report('e2')]}, 140);
-	relay.tell(200);
-	relay.tell(300);
-	t.same(told(), [
+// Guards against late or duplicate reports in a zone whose agents send to two entries only: the
+// other entries of the zone send the most requests to its engines.
+t.test('each report is relayed once to the other entries of the zone', async t => {
+	const {relay, sentReports} = relayWith(true);
+	relay.receive({kind: 'near', reports: [report('e1')]}, 40);
+	relay.tick(100);
+	relay.receive({kind: 'near', reports: [report('e2')]}, 140);
+	relay.tick(200);
+	relay.tick(300);
+	t.same(sentReports(), [
 		['passed', [['e1', 60]]],
 		['passed', [['e2', 60]]],
 		['digest', [['e1', 160], ['e2', 60]]],
 	]);
 });
 
-t.test('an agent tells two entries of a zone with many, and each of one with few', async t => {
+t.test('an agent sends to two entries of a zone with many entries, and to all entries of a zone with few', async t => {
 	const few = [...entriesOf(8).filter(({zoneId}) => zoneId !== 'a'), ...entriesOf(3).filter(({zoneId}) => zoneId === 'a')];
-	t.same(reportRoutes('a', entriesOf(8)), {type: 'relayed', near: ['a0', 'a1']});
-	t.same(reportRoutes('a', few), {type: 'relayed', near: ['a0', 'a1', 'a2']});
-	t.same(reportRoutes('z', entriesOf(8)), {type: 'all', near: []}, 'nobody is beside it');
+	t.same(reportRoutes('a', entriesOf(8)), {type: 'relayed', localAddresses: ['a0', 'a1']});
+	t.same(reportRoutes('a', few), {type: 'relayed', localAddresses: ['a0', 'a1', 'a2']});
+	t.same(reportRoutes('z', entriesOf(8)), {type: 'all', localAddresses: []}, 'the zone has no entries');
 });
 
-t.test('a digest of another zone is passed to the entries beside, and no further', async t => {
+t.test('a digest of another zone is relayed to the entries of the own zone only', async t => {
 	const sent: Array<[LoadMessage['kind'], readonly string[]]> = [];
 	const relay = createLoadRelay({
-		plan: () => ({farAddresses: ['b0'], nearAddresses: ['a1', 'a2'], passesNear: true}), delayMs: () => 0, send(message, addresses) {
+		plan: () => ({remoteAddresses: ['b0'], localAddresses: ['a1', 'a2'], relaysLocally: true}), delayMs: () => 0, send(message, addresses) {
 			sent.push([message.kind, addresses]);
 		},
 	});
-	relay.hear({kind: 'digest', reports: [report('e1')]}, 0);
-	relay.hear({kind: 'passed', reports: [report('e2')]}, 0);
-	relay.tell(100);
-	t.same(sent, [['passed', ['a1', 'a2']]], 'nor is it in the digest of this zone');
+	relay.receive({kind: 'digest', reports: [report('e1')]}, 0);
+	relay.receive({kind: 'passed', reports: [report('e2')]}, 0);
+	relay.tick(100);
+	t.same(sent, [['passed', ['a1', 'a2']]], 'and is not part of the digest of this zone');
 });
 
-/** Listeners in the order of the zones given; who heard what. */
+/** Starts a listener in each of the given zones and records the messages that each receives. */
 const listen = async (t: Test, zoneIds: readonly string[]) => {
 	const addresses = await freeAddresses(zoneIds.length);
-	const heard: Array<{readonly index: number; readonly kind: LoadMessage['kind']; readonly sequence: number}> = [];
+	const received: Array<{readonly index: number; readonly kind: LoadMessage['kind']; readonly sequence: number}> = [];
 	for (const [index, address] of addresses.entries()) {
 		const listener = await createLoadListener({
 			listen: address, onReport: () => undefined, onError: () => undefined, onMessage({kind, reports}) {
-				heard.push({index, kind, sequence: reports[0]!.sequence});
+				received.push({index, kind, sequence: reports[0]!.sequence});
 			},
 		});
 		t.teardown(listener.close);
@@ -130,13 +130,13 @@
 	t.teardown(reporter.close);
 	const {report: engine} = report('e');
 	return {
-		heard, of: (index: number) => heard.filter(each => each.index === index).map(({kind, sequence}) => `${kind} ${sequence}`).toSorted(),
-		async send(turns: readonly boolean[], expected: number) {
-			for (const isTurning of turns) {
-				reporter.send(engine, isTurning);
+		received, of: (index: number) => received.filter(each => each.index === index).map(({kind, sequence}) => `${kind} ${sequence}`).toSorted(),
+		async send(serviceChanges: readonly boolean[], expected: number) {
+			for (const changesService of serviceChanges) {
+				reporter.send(engine, changesService);
 			}
 
-			while (heard.length < expected) {
+			while (received.length < expected) {
 				await delay(5);
 			}
 
@@ -145,28 +145,28 @@
 	};
 };
 
-// Of an agent's reports those that end or begin service go to all entries at once;
-// a tenth of a second of requests would be sent to an engine that has just left service.
-t.test('in a large fleet an agent tells its own zone everything, and the others what ends or begins service', async t => {
+// Guards against sending requests for 100 ms to an engine that has just stopped serving: reports
+// on the start or stop of service must be sent to all entries directly.
+t.test('in a large fleet an agent sends all reports to its own zone, and starts and stops of service to all zones', async t => {
 	const fleet = await listen(t, ['z', 'z', ...Array.from({length: 11}, () => 'y')]);
 	await fleet.send([false, false, true, false], 8 + 11);
 	t.same(fleet.of(1), ['near 1', 'near 2', 'near 3', 'near 4']);
 	t.same(fleet.of(2), ['far 3']);
 });
 
-t.test('in a small one it tells all entries every second report', async t => {
+t.test('in a small fleet an agent sends every second report to all entries', async t => {
 	const fleet = await listen(t, ['z', 'z', 'y']);
 	await fleet.send([false, false, true, false], 8 + 3);
 	t.same(fleet.of(1), ['near 1', 'near 2', 'near 3', 'near 4']);
 	t.same(fleet.of(2), ['far 2', 'far 3', 'far 4']);
 });
 
-t.test('a report that comes late by another way is dropped', async t => {
+t.test('a report that arrives late on another path is dropped', async t => {
 	const [listen, other] = await freeAddresses(2) as [string, string];
-	const heard: number[] = [];
+	const received: number[] = [];
 	const listener = await createLoadListener({
 		listen, onError: () => undefined, onMessage: () => undefined, onReport({sequence}) {
-			heard.push(sequence);
+			received.push(sequence);
 		},
 	});
 	const sender = await createLoadListener({
@@ -180,9 +180,9 @@
 		sender.send({kind: 'passed', reports: [report('e', sequence)]}, [listen]);
 	}
 
-	while (!heard.includes(4)) {
+	while (!received.includes(4)) {
 		await delay(5);
 	}
 
-	t.same(heard, [3, 4]);
+	t.same(received, [3, 4]);
 });
--- a/packages/gateway/test/permit-exchange.test.ts
+++ b/packages/gateway/test/permit-exchange.test.ts
@@ -3,7 +3,7 @@
 
 const windowMs = 4000;
 
-const mostInWindow = (timesMs: readonly number[]): number => Math.max(0, ...timesMs.map(startMs => timesMs.filter(atMs => atMs >= startMs && atMs < startMs + windowMs).length));
+const maxInWindow = (timesMs: readonly number[]): number => Math.max(0, ...timesMs.map(startMs => timesMs.filter(atMs => atMs >= startMs && atMs < startMs + windowMs).length));
 
 const allowedIn = (perSecond: number): number => (1.5 * perSecond * windowMs / 1000) + 5;
 
@@ -21,9 +21,9 @@
 		const fleet = createPermitFleet({seed: 1, entryCount: 20, perSecond: () => perSecond});
 		setDemand(fleet, Math.max(2, perSecond / 4));
 		fleet.runUntil(40_000);
-		const most = mostInWindow(fleet.sends.map(({atMs}) => atMs));
+		const max = maxInWindow(fleet.sends.map(({atMs}) => atMs));
 		const used = usedShare(fleet, perSecond, 5000, 40_000);
-		t.ok(most <= allowedIn(perSecond), `${most} requests in ${windowMs} ms`);
+		t.ok(max <= allowedIn(perSecond), `${max} requests in ${windowMs} ms`);
 		t.ok(used > 0.8 && used < 1.1, `${used.toFixed(2)} of the limit is used`);
 	});
 }
@@ -38,7 +38,7 @@
 		}
 	});
 	const used = usedShare(fleet, perSecond, 0, 60_000);
-	t.ok(mostInWindow(fleet.sends.map(({atMs}) => atMs)) <= allowedIn(perSecond));
+	t.ok(maxInWindow(fleet.sends.map(({atMs}) => atMs)) <= allowedIn(perSecond));
 	t.ok(used > 0.5, `${used.toFixed(2)} of the limit is used`);
 });
 
@@ -47,7 +47,7 @@
 	setDemand(fleet, 10);
 	fleet.runUntil(30_000);
 	const low = fleet.sends.map(({atMs}) => atMs).filter(atMs => atMs >= 10_500 && atMs < 20_000);
-	t.ok(mostInWindow(low) <= allowedIn(2));
+	t.ok(maxInWindow(low) <= allowedIn(2));
 	t.ok(usedShare(fleet, 6, 21_000, 30_000) > 0.8);
 });
 
@@ -55,7 +55,7 @@
 	const fleet = createPermitFleet({seed: 4, entryCount: 8, perSecond: () => 0});
 	setDemand(fleet, 10);
 	fleet.runUntil(60_000);
-	t.ok(mostInWindow(fleet.sends.map(({atMs}) => atMs)) <= 2);
+	t.ok(maxInWindow(fleet.sends.map(({atMs}) => atMs)) <= 2);
 	t.ok(fleet.sends.length > 5);
 });
 
@@ -78,8 +78,8 @@
 		}
 
 		fleet.runUntil(50_000);
-		const most = mostInWindow(fleet.sends.map(({atMs}) => atMs));
-		t.ok(most <= allowedIn(perSecond), `${most} requests in ${windowMs} ms, seed ${seed}`);
+		const max = maxInWindow(fleet.sends.map(({atMs}) => atMs));
+		t.ok(max <= allowedIn(perSecond), `${max} requests in ${windowMs} ms, seed ${seed}`);
 		t.ok(used > 0.2 && used < 0.8, `${used.toFixed(2)} of the limit is used without an issuer, seed ${seed}`);
 		t.ok(usedShare(fleet, perSecond, 33_000, 50_000) > 0.8, `seed ${seed}`);
 	}
@@ -187,8 +187,8 @@
 				}
 			}
 		});
-		const most = mostInWindow(fleet.sends.map(({atMs}) => atMs));
-		t.ok(most <= allowedIn(perSecond), `${most} requests in ${windowMs} ms, ${allowedIn(perSecond)} allowed, seed ${seed}`);
+		const max = maxInWindow(fleet.sends.map(({atMs}) => atMs));
+		t.ok(max <= allowedIn(perSecond), `${max} requests in ${windowMs} ms, ${allowedIn(perSecond)} allowed, seed ${seed}`);
 		shares.push(usedShare(fleet, perSecond, 2000, 60_000));
 	}
 
--- a/packages/gateway/test/request-limits.test.ts
+++ b/packages/gateway/test/request-limits.test.ts
@@ -1,10 +1,10 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import t from 'tap';
 import {
-	createCrashingFleet, type CallAnswer, type CrashingFleet, type Treatment,
+	createCrashingFleet, type CallAnswer, type CrashingFleet, type EngineBehavior,
 } from './support/crashing-fleet.js';
 
-const treat = (): Treatment => ({type: 'stream', pauseMs: 10});
+const behaviorOf = (): EngineBehavior => ({type: 'stream', pauseMs: 10});
 
 const windowMs = 4000;
 /** Every entry observes a limit within this time after the endpoint first advertises it. */
@@ -25,33 +25,33 @@
 	return Promise.all(calls);
 };
 
-/** The most arrivals at an engine in any window that begins at or after `fromMs` and before `untilMs`. */
-const mostInWindow = ({arrivals}: CrashingFleet, engine: number, fromMs: number, untilMs = Number.POSITIVE_INFINITY): number => {
+/** The largest number of arrivals at an engine in any window that begins at or after `fromMs` and before `untilMs`. */
+const maxInWindow = ({arrivals}: CrashingFleet, engine: number, fromMs: number, untilMs = Number.POSITIVE_INFINITY): number => {
 	const timesMs = arrivals.filter(arrival => arrival.engine === engine && arrival.atMs >= fromMs).map(({atMs}) => atMs);
 	return Math.max(0, ...timesMs.filter(atMs => atMs < untilMs).map(startMs => timesMs.filter(atMs => atMs >= startMs && atMs < startMs + windowMs).length));
 };
 
-t.test('an endpoint gets no more requests from all entries together than the limit that it names', async t => {
+t.test('all entries together send an endpoint no more requests than its advertised limit', async t => {
 	const entryCount = 4;
 	const perSecond = 2;
 	const state = {isLimited: false};
 	const fleet = await createCrashingFleet(t, {
-		entryCount, engineCount: 3, treat, answerHeaders: engine => state.isLimited && engine === 0 ? {'x-limit': String(perSecond)} : {},
+		entryCount, engineCount: 3, behaviorOf, answerHeaders: engine => state.isLimited && engine === 0 ? {'x-limit': String(perSecond)} : {},
 	});
 	await sendSteadily(fleet, {perSecond: 40, forMs: 1000, entryOf: index => index % entryCount});
 	state.isLimited = true;
 	const advertisedAtMs = performance.now();
 	const statuses = await sendSteadily(fleet, {perSecond: 40, forMs: propagationMs + windowMs + 1500, entryOf: index => index % entryCount});
-	const most = mostInWindow(fleet, 0, advertisedAtMs + propagationMs);
-	t.ok(most <= allowedIn(perSecond), `${most} requests in ${windowMs} ms, ${allowedIn(perSecond)} allowed`);
-	t.ok(most >= perSecond * windowMs / 2000, 'at least half of the limit is used');
+	const max = maxInWindow(fleet, 0, advertisedAtMs + propagationMs);
+	t.ok(max <= allowedIn(perSecond), `${max} requests in ${windowMs} ms, ${allowedIn(perSecond)} allowed`);
+	t.ok(max >= perSecond * windowMs / 2000, 'at least half of the limit is used');
 	t.same(statuses.filter(status => status !== 200), [], 'the other endpoints serve the rest');
 });
 
 t.test('every entry applies a limit that changes and is lifted', async t => {
 	const state: {limit: string | null} = {limit: '6'};
 	const fleet = await createCrashingFleet(t, {
-		entryCount: 3, engineCount: 2, treat, answerHeaders: engine => state.limit !== null && engine === 0 ? {'x-limit': state.limit} : {},
+		entryCount: 3, engineCount: 2, behaviorOf, answerHeaders: engine => state.limit !== null && engine === 0 ? {'x-limit': state.limit} : {},
 	});
 	const send = async (forMs: number): Promise<number> => {
 		const startedAtMs = performance.now();
@@ -62,20 +62,20 @@
 	await send(1000);
 	state.limit = '2';
 	const loweredAtMs = await send(propagationMs + windowMs);
-	const most = mostInWindow(fleet, 0, loweredAtMs + propagationMs);
-	t.ok(most <= allowedIn(2), `${most} requests in ${windowMs} ms after the limit fell, ${allowedIn(2)} allowed`);
+	const max = maxInWindow(fleet, 0, loweredAtMs + propagationMs);
+	t.ok(max <= allowedIn(2), `${max} requests in ${windowMs} ms after the limit fell, ${allowedIn(2)} allowed`);
 	state.limit = null;
 	const liftedAtMs = await send((2 * windowMs) + 2000);
-	const mostUnderLimit = mostInWindow(fleet, 0, loweredAtMs + propagationMs, liftedAtMs);
-	t.ok(mostUnderLimit <= allowedIn(2), `${mostUnderLimit} requests in ${windowMs} ms that began under the limit, ${allowedIn(2)} allowed`);
+	const maxUnderLimit = maxInWindow(fleet, 0, loweredAtMs + propagationMs, liftedAtMs);
+	t.ok(maxUnderLimit <= allowedIn(2), `${maxUnderLimit} requests in ${windowMs} ms that began under the limit, ${allowedIn(2)} allowed`);
 	// The limit is released one window after the first answer without it, which may take a second to arrive.
-	t.ok(mostInWindow(fleet, 0, liftedAtMs + windowMs + 2000) > allowedIn(2), 'the endpoint receives its share of the requests again');
+	t.ok(maxInWindow(fleet, 0, liftedAtMs + windowMs + 2000) > allowedIn(2), 'the endpoint receives its share of the requests again');
 });
 
 t.test('when every endpoint advertises a limit, no limit is exceeded and excess requests are refused with a retry time', async t => {
 	const perSecond = 2;
 	const fleet = await createCrashingFleet(t, {
-		entryCount: 2, engineCount: 2, treat, answerHeaders: () => ({'x-limit': String(perSecond)}),
+		entryCount: 2, engineCount: 2, behaviorOf, answerHeaders: () => ({'x-limit': String(perSecond)}),
 	});
 	const answers: CallAnswer[] = [];
 	const startedAtMs = performance.now();
@@ -84,8 +84,8 @@
 		answers.push(await fleet.call(`call-${index}`, `body ${index}`, {entry: index % 2, deadlineMs: 4000}));
 	}));
 	for (const engine of [0, 1]) {
-		const most = mostInWindow(fleet, engine, startedAtMs);
-		t.ok(most <= allowedIn(perSecond) && most >= perSecond * windowMs / 2000, `${most} requests in ${windowMs} ms`);
+		const max = maxInWindow(fleet, engine, startedAtMs);
+		t.ok(max <= allowedIn(perSecond) && max >= perSecond * windowMs / 2000, `${max} requests in ${windowMs} ms`);
 	}
 
 	const refused = answers.filter(({status}) => status === 503);
@@ -97,7 +97,7 @@
 // Guards against exceeding a limit that the entry has not itself received from the endpoint.
 t.test('a restarted entry observes a limit that only other entries received', async t => {
 	const fleet = await createCrashingFleet(t, {
-		entryCount: 2, engineCount: 2, treat, answerHeaders: engine => engine === 0 ? {'x-limit': '0'} : {},
+		entryCount: 2, engineCount: 2, behaviorOf, answerHeaders: engine => engine === 0 ? {'x-limit': '0'} : {},
 	});
 	await sendSteadily(fleet, {perSecond: 20, forMs: 500, entryOf: () => 0});
 	await fleet.restartEntry(1);
@@ -111,7 +111,7 @@
 // Guards against sending several waiting requests with one permit.
 t.test('requests that wait for the same endpoints do not exceed the limits of those endpoints', async t => {
 	const perSecond = 5;
-	const fleet = await createCrashingFleet(t, {engineCount: 2, treat, answerHeaders: () => ({'x-limit': String(perSecond)})});
+	const fleet = await createCrashingFleet(t, {engineCount: 2, behaviorOf, answerHeaders: () => ({'x-limit': String(perSecond)})});
 	const startedAtMs = performance.now();
 	const calls: Array<Promise<CallAnswer>> = [];
 	for (let burst = 0; performance.now() - startedAtMs < propagationMs + windowMs + 1000; burst++) {
@@ -121,7 +121,7 @@
 
 	await Promise.all(calls);
 	for (const engine of [0, 1]) {
-		const most = mostInWindow(fleet, engine, startedAtMs + propagationMs);
-		t.ok(most <= allowedIn(perSecond), `${most} requests in ${windowMs} ms, ${allowedIn(perSecond)} allowed`);
+		const max = maxInWindow(fleet, engine, startedAtMs + propagationMs);
+		t.ok(max <= allowedIn(perSecond), `${max} requests in ${windowMs} ms, ${allowedIn(perSecond)} allowed`);
 	}
 });
