--- a/packages/gateway/test/retry-after.test.ts
+++ b/packages/gateway/test/retry-after.test.ts
@@ -23,7 +23,7 @@
 };
 
 /** The largest number of requests that an engine received from one entry during a pause requested from that entry. */
-const mostDuringPause = ({arrivals}: CrashingFleet, engine: number, fromMs: number): number => {
+const peakDuringPause = ({arrivals}: CrashingFleet, engine: number, fromMs: number): number => {
 	const refused = arrivals.filter(arrival => arrival.engine === engine && arrival.atMs >= fromMs)
 		.map(({atMs, requestId}) => ({atMs, entry: entryOf(requestId)}));
 	return Math.max(0, ...refused.map(({atMs, entry}) => refused.filter(other => other.entry === entry && other.atMs > atMs + inFlightMs && other.atMs < atMs + pauseMs).length));
@@ -34,15 +34,15 @@
 	const state = {isOverloaded: false};
 	const isRefusing = (engine: number): boolean => state.isOverloaded && engine === 0;
 	const fleet = await createCrashingFleet(t, {
-		entryCount, engineCount: 3, treat: (_body, _headers, engine) => isRefusing(engine) ? {type: 'refuse', status: 503} : {type: 'stream', pauseMs: 10},
+		entryCount, engineCount: 3, behaviorOf: (_body, _headers, engine) => isRefusing(engine) ? {type: 'refuse', status: 503} : {type: 'stream', pauseMs: 10},
 		answerHeaders: engine => isRefusing(engine) ? {'retry-after': String(pauseMs / 1000)} : {},
 	});
 	await sendSteadily(fleet, {perSecond: 40, forMs: 500, entryCount});
 	state.isOverloaded = true;
 	const overloadedAtMs = performance.now();
 	const answers = await sendSteadily(fleet, {perSecond: 40, forMs: 5000, entryCount});
-	const most = mostDuringPause(fleet, 0, overloadedAtMs);
-	t.ok(most <= maxDuringPause, `${most} requests within a pause of ${pauseMs} ms, ${maxDuringPause} allowed`);
+	const max = peakDuringPause(fleet, 0, overloadedAtMs);
+	t.ok(max <= maxDuringPause, `${max} requests within a pause of ${pauseMs} ms, ${maxDuringPause} allowed`);
 	t.same(answers.filter(({status}) => status !== 200), [], 'the other endpoints serve all');
 	state.isOverloaded = false;
 	const recoveredAtMs = performance.now();
@@ -52,7 +52,7 @@
 
 t.test('while every endpoint is paused, callers are refused at once and nothing is sent to an endpoint', async t => {
 	const fleet = await createCrashingFleet(t, {
-		engineCount: 2, treat: body => body === 'first' ? {type: 'stream', pauseMs: 10} : {type: 'refuse', status: 503}, answerHeaders: () => ({'retry-after': '3'}),
+		engineCount: 2, behaviorOf: body => body === 'first' ? {type: 'stream', pauseMs: 10} : {type: 'refuse', status: 503}, answerHeaders: () => ({'retry-after': '3'}),
 	});
 	await sendSteadily(fleet, {perSecond: 20, forMs: 200, entryCount: 1});
 	await delay(inFlightMs);
--- a/packages/gateway/test/serve-request.test.ts
+++ b/packages/gateway/test/serve-request.test.ts
@@ -35,8 +35,8 @@
 	isLeaving: () => false,
 };
 
-/** An entry that has just started, with a snapshot's configuration; `learn` is what the core then tells it. */
-const start = async (t: Test, learn: RouteTable) => {
+/** Starts an entry with the configuration of a snapshot; `learned` is the configuration that it then receives from the core. */
+const start = async (t: Test, learned: RouteTable) => {
 	const state = {table: tableWith(1, ['k']), holdsLease: false};
 	const keysInForce: boolean[] = [];
 	const waits: number[] = [];
@@ -45,9 +45,9 @@
 		protocol, random: createRandom(1), logger: silentLogger, metrics: createGatewayMetrics(), nowMs: () => performance.now(),
 		table: () => state.table, holdsLease: () => state.holdsLease, lostCoreRetryMs: () => 2000, isLeaving: () => false, patience: () => patience,
 		awaitConfiguration: async () => undefined,
-		async awaitLease(mostMs) {
-			waits.push(mostMs);
-			state.table = learn;
+		async awaitLease(maxMs) {
+			waits.push(maxMs);
+			state.table = learned;
 			state.holdsLease = true;
 		},
 		async run(call) {
@@ -79,24 +79,25 @@
 	return {call, keysInForce, waits};
 };
 
-// Everything lost power. The entry is up with a snapshot's configuration, and a
-// caller comes back with a key that was taken away after that snapshot. It waits
-// until the entry surely knows what is in force: then its key must not be served.
-t.test('a key that was taken away is not served by what was known before the lease', async t => {
+// Guards against accepting a revoked key after a power loss of the whole system: the entry
+// starts with the configuration of a snapshot, and a caller retry uses a key that was revoked
+// after that snapshot. The caller waits until the entry holds the lease; its key must then be
+// checked against the configuration in force.
+t.test('a revoked key is not accepted on the basis of a configuration from before the lease', async t => {
 	const {call, keysInForce} = await start(t, tableWith(2, ['other']));
 	t.equal(await call(3000), 401);
 	t.same(keysInForce, [], 'nothing ran');
 });
 
-t.test('a caller that came back waits for the lease, and is served', async t => {
+t.test('a caller retry waits for the lease and is served', async t => {
 	const {call, keysInForce} = await start(t, tableWith(2, ['k']));
 	t.equal(await call(3000), 200);
-	t.same(keysInForce, [true, false], 'and a key that is taken away later is seen to be');
+	t.same(keysInForce, [true, false], 'and a later revocation of the key is detected');
 });
 
-// A caller with a third of a second left must not wait for a lease that takes a
-// second: it would hear nothing before its deadline.
-t.test('nobody waits for the lease longer than a third of what is left', async t => {
+// Guards against missing the caller's deadline: with 300 ms left, a caller must not wait for
+// a lease that takes 1 s, because it would get no answer in time.
+t.test('a caller waits for the lease for at most about a third of its remaining time', async t => {
 	const {call, waits} = await start(t, tableWith(2, ['k']));
 	await call(300);
 	t.equal(waits.length, 1);
--- a/packages/gateway/test/support/crashing-fleet.ts
+++ b/packages/gateway/test/support/crashing-fleet.ts
@@ -50,14 +50,14 @@
 	readLimit: ({'x-limit': limit}) => limit === undefined ? {type: 'unlimited'} : {type: 'limited', perSecond: Number(limit)},
 };
 
-/** How an engine treats a request. */
-export type Treatment
-	= | {readonly type: 'stream'; /** Between its three events. */ readonly pauseMs: number}
-		/** The process ends `afterMs` into the run, behind so many events. */
+/** How an engine handles a request. */
+export type EngineBehavior
+	= | {readonly type: 'stream'; /** Delay between the three events. */ readonly pauseMs: number}
+		/** The engine crashes after `afterMs`, having sent `events` events. */
 		| {readonly type: 'crash'; readonly afterMs: number; readonly events: number}
-		/** The connection is reset; the engine lives. */
+		/** The connection is reset; the engine keeps running. */
 		| {readonly type: 'loseAnswer'}
-		/** Nothing comes, and nothing ends. */
+		/** No answer is sent and the connection stays open. */
 		| {readonly type: 'hang'}
 		/** Refused without being run. */
 		| {readonly type: 'refuse'; readonly status: number};
@@ -71,7 +71,7 @@
 	readonly engineCount?: number;
 	/** How long a crashed engine is down. @default 600 */
 	readonly downMs?: number;
-	treat(body: string, headers: http.IncomingHttpHeaders, engine: number): Treatment;
+	behaviorOf(body: string, headers: http.IncomingHttpHeaders, engine: number): EngineBehavior;
 	/** Additional headers of every answer of an engine. @default none */
 	answerHeaders?(engine: number): http.OutgoingHttpHeaders;
 	readonly logger?: Logger;
@@ -92,19 +92,19 @@
 
 export type CrashingFleet = {
 	readonly arrivals: Arrival[];
-	/** Engines that ended, with the time of each end. */
+	/** Exits of engines. */
 	readonly ends: Array<{readonly engine: number; readonly atMs: number}>;
 	readonly entries: EntryNode[];
-	/** `status` is 0 where the connection ended without a whole answer. */
+	/** `status` is 0 if the connection closed without a complete answer. */
 	call(requestId: string, body: string, options?: CallOptions): Promise<CallAnswer>;
-	/** Ends an engine's process; it is back, under another id, after its down time. */
+	/** Crashes an engine; it restarts with a new id after `downMs`. */
 	crash(engine: number): void;
-	/** Another process takes the place of an entry, at its address. */
+	/** Replaces an entry by a new one at the same address. */
 	restartEntry(entry: number): Promise<void>;
 	arrivalsOf(body: string): Arrival[];
 };
 
-/** The same engine from start to start, at one address. */
+/** An engine at a fixed address; `id` and `server` change with each start. */
 type Engine = {
 	id: string;
 	sequence: number;
@@ -118,10 +118,10 @@
 
 const event = (id: number): string => `id: ${id}\ndata: word${id}\n\n`;
 
-/** Engines that end under some requests, entries and a core host, all in this process. */
+/** Creates engines that crash on some requests, entries and a core host, all in this process. */
 export const createCrashingFleet = async (t: Test, options: CrashingFleetOptions): Promise<CrashingFleet> => {
 	const {
-		entryCount = 1, engineCount = 6, downMs = 600, treat, answerHeaders = () => ({}), logger = silentLogger,
+		entryCount = 1, engineCount = 6, downMs = 600, behaviorOf, answerHeaders = () => ({}), logger = silentLogger,
 	} = options;
 	const [core, ...addresses] = await freeAddresses(1 + (3 * entryCount) + engineCount);
 	const entryAddresses = addresses.slice(0, entryCount);
@@ -187,28 +187,28 @@
 		}).end();
 	};
 
-	const run = (index: number, requestId: string, response: ServerResponse, treatment: Treatment): void => {
-		switch (treatment.type) {
+	const run = (index: number, requestId: string, response: ServerResponse, behavior: EngineBehavior): void => {
+		switch (behavior.type) {
 			case 'stream': {
 				begin(index, requestId, response);
-				stream(response, treatment.pauseMs);
+				stream(response, behavior.pauseMs);
 				break;
 			}
 
 			case 'crash': {
 				begin(index, requestId, response);
 				response.flushHeaders();
-				for (let id = 1; id <= treatment.events; id++) {
+				for (let id = 1; id <= behavior.events; id++) {
 					response.write(event(id));
 				}
 
 				const {server} = engines[index]!;
 				later(() => {
-					// Another request may have ended this start before.
+					// Another request may already have crashed this start.
 					if (engines[index]!.server === server) {
 						crash(index);
 					}
-				}, treatment.afterMs);
+				}, behavior.afterMs);
 				break;
 			}
 
@@ -222,7 +222,7 @@
 			}
 
 			case 'refuse': {
-				refuse(index, requestId, response, treatment.status);
+				refuse(index, requestId, response, behavior.status);
 				break;
 			}
 		}
@@ -235,7 +235,7 @@
 			requestId, body, engine: index, atMs: performance.now(),
 		});
 		if (request.headers['x-expect'] === id) {
-			run(index, requestId, response, treat(body, request.headers, index));
+			run(index, requestId, response, behaviorOf(body, request.headers, index));
 			return;
 		}
 
--- a/packages/gateway/test/support/permit-fleet.ts
+++ b/packages/gateway/test/support/permit-fleet.ts
@@ -43,8 +43,8 @@
 };
 
 const stepMs = 5;
-const leastDelayMs = 1;
-const mostDelayMs = 6;
+const minDelayMs = 1;
+const maxDelayMs = 6;
 const issueMs = 20;
 
 export const createPermitFleet = ({seed, entryCount, perSecond, lossShare = 0}: PermitFleetOptions): PermitFleet => {
@@ -59,7 +59,7 @@
 		limitOf: start => ({start, perSecond: perSecond(nowMs), heardAtMs: nowMs}),
 		send(message, [to]) {
 			if (!entry().isCut && drawShare(random) >= lossShare) {
-				messages.push({to: to!, message, dueMs: nowMs + random.between(leastDelayMs, mostDelayMs)});
+				messages.push({to: to!, message, dueMs: nowMs + random.between(minDelayMs, maxDelayMs)});
 			}
 		},
 	});
@@ -71,11 +71,11 @@
 		return entry;
 	});
 
-	const hear = ({exchange}: PermitEntry, message: LimitMessage): void => {
+	const handle = ({exchange}: PermitEntry, message: LimitMessage): void => {
 		if (message.type === 'request') {
-			exchange.hearRequest(message);
+			exchange.handleRequest(message);
 		} else if (message.type === 'reply') {
-			exchange.hearReply(message.limit.start, message.reply);
+			exchange.handleReply(message.limit.start, message.reply);
 		}
 	};
 
@@ -106,7 +106,7 @@
 		deliver();
 		for (const entry of entries.filter(({isRunning}) => isRunning)) {
 			for (const message of entry.inbox.splice(0)) {
-				hear(entry, message);
+				handle(entry, message);
 			}
 
 			if (nowMs % issueMs === 0) {
