--- a/packages/gateway/src/entry/attempt.ts
+++ b/packages/gateway/src/entry/attempt.ts
@@ -250,7 +250,7 @@
 	startSilenceTimer(limits.firstByteMs, performance.now() + (limits.maxFirstByteMs ?? 0));
 	if (beginWithinMs !== null) {
 		beginTimer = setTimeout(() => {
-			fail('outdated', 'the request may no longer start on the weight version of the endpoint');
+			fail('outdated', 'it may no longer begin on these weights');
 		}, beginWithinMs);
 	}
 
--- a/packages/gateway/src/entry/find-endpoint.ts
+++ b/packages/gateway/src/entry/find-endpoint.ts
@@ -61,7 +61,7 @@
 	}
 
 	if (call.requiresKey && !holdsLease()) {
-		return {reason: 'the keys in force are not confirmed', retryAfterMs: lostCoreRetryMs()};
+		return {reason: 'the keys in force are not surely known', retryAfterMs: lostCoreRetryMs()};
 	}
 
 	// The key may have been revoked while the request waited.
--- a/packages/gateway/src/entry/handle-attempt-result.ts
+++ b/packages/gateway/src/entry/handle-attempt-result.ts
@@ -31,7 +31,7 @@
 
 		case 'refused': {
 			progress.sent++;
-			progress.lastReason = `the endpoint answered ${result.head.status} and did not run the request`;
+			progress.lastReason = `the endpoint answered ${result.head.status} and did not run it`;
 			recordRefusal(context, candidate, result.head, requestedVersion(context, call, candidate) !== null);
 			return !retryOrFail(context, call, progress);
 		}
