--- a/packages/coordination/src/admission/admission.ts
+++ b/packages/coordination/src/admission/admission.ts
@@ -2,7 +2,7 @@
 	createFairQueue, dropRequest, popRequest, pushRequest, returnRequest, teamQueueOf, waitingInOrder, type FairQueue, type TeamQueue,
 } from './fair-queue.js';
 import {
-	advanceRate, createServiceRate, expectedWaitMs, noteServed, slackMsOf, type ServiceRate,
+	advanceRate, createServiceRate, expectedWaitMs, recordServed, slackMsOf, type ServiceRate,
 } from './service-rate.js';
 import {
 	createTokenBucket, returnTokens, setBucketRate, takeTokens, type TokenBucket,
@@ -12,15 +12,15 @@
 } from './types.js';
 
 export type AdmissionOptions = {
-	/** Tokens a second for all teams over all entries; `null` for no limit. @default null */
+	/** Fleet-wide limit in tokens per second, over all teams and entries; `null` disables it. @default null */
 	readonly fleetTokensPerSecond?: number | null;
-	/** Seconds of its rate that a team can save up. @default 10 */
+	/** Bucket size of a team, in seconds of its rate. @default 10 */
 	readonly burstSeconds?: number;
-	/** Requests of one team that wait for one target. @default 512 */
+	/** Maximum queued requests of one team per target. @default 512 */
 	readonly maxQueuedPerTeam?: number;
-	/** Requests that wait for one target. @default 2048 */
+	/** Maximum queued requests per target. @default 2048 */
 	readonly maxQueuedPerTarget?: number;
-	/** How much earlier a request of the next more urgent priority counts as having come. @default 2000 */
+	/** Head start that each priority level gives over the next less urgent one. @default 2000 */
 	readonly priorityStepMs?: number;
 };
 
@@ -28,14 +28,14 @@
 
 type Team = {readonly weight: number; bucket: TokenBucket | null; offered: number};
 
-/** One entry's queues and limits. */
+/** Queues and rate limits of one entry. */
 export type AdmissionState = {
 	readonly options: Required<AdmissionOptions>;
 	readonly teams: Map<string, Team>;
 	readonly targets: Map<string, Target>;
 	readonly requests: Map<string, QueuedRequest>;
 	totalWeight: number;
-	/** Entries that share the fleet-wide limit. */
+	/** Number of entries that share the fleet-wide limit. */
 	entries: number;
 };
 
@@ -49,15 +49,15 @@
 export type Shares = {
 	/** Weight by team. */
 	readonly teams: ReadonlyMap<string, number>;
-	/** Entries that share the fleet-wide limit. */
+	/** Number of entries that share the fleet-wide limit. */
 	readonly entries: number;
-	/** What this entry may let through a second, by team. @default an equal part */
+	/** Tokens per second that this entry may admit, by team. @default an equal share */
 	readonly rates?: ReadonlyMap<string, number>;
-	/** New buckets are empty: other entries may have let through what would be in them. @default false */
+	/** Create buckets empty, because other entries may already have spent the burst. @default false */
 	readonly startsEmpty?: boolean;
 };
 
-/** Takes the teams' shares and the number of entries; called when either changes. */
+/** Applies the teams' weights and the number of entries; call it when either changes. */
 export const setShares = (state: AdmissionState, shares: Shares, nowMs: number): void => {
 	const {teams, entries} = shares;
 	state.entries = Math.max(1, entries);
@@ -85,7 +85,7 @@
 
 	const equalRate = fleetTokensPerSecond * teams.get(teamId)! / state.totalWeight / state.entries;
 	const ratePerSecond = rates?.get(teamId) ?? equalRate;
-	// Lent and borrowed rates move nothing that was saved up, so that what all entries saved up stays the same.
+	// Loans change the rate but not the burst, so the total burst over all entries stays constant.
 	const burst = equalRate * burstSeconds;
 	const known = state.teams.get(teamId)?.bucket ?? null;
 	if (known === null) {
@@ -114,34 +114,34 @@
 	type: 'refused', requestId, reason, retryAfterMs: Math.min(30_000, Math.max(100, Math.ceil(retryAfterMs))),
 });
 
-/** A team's wait for what it has queued: its own backlog at its share, at most the whole backlog at the whole rate. */
-const waitMsFor = ({queue, rate}: Target, team: TeamQueue, costAhead: number): number => {
+/** Expected wait for a team: its own backlog at its share of the rate, capped by the total backlog at the full rate. */
+const expectedTeamWaitMs = ({queue, rate}: Target, team: TeamQueue, costAhead: number): number => {
 	const weights = queue.waitingWeight + (team.count === 0 ? team.weight : 0);
 	return Math.min(expectedWaitMs(rate, costAhead, team.weight / weights), expectedWaitMs(rate, queue.cost, 1));
 };
 
 /**
- * Queues a request or refuses it at once. Work that cannot end by its deadline
- * is refused here, not when the deadline is near: the caller can still go
- * elsewhere, and what waits behind it is not held up.
+ * Queues a request or refuses it immediately. Work that cannot meet its deadline
+ * is refused here rather than at the deadline, so that the caller can still try
+ * elsewhere and the requests behind it are not delayed.
  */
 export const offerRequest = (state: AdmissionState, request: AdmissionRequest, nowMs: number): OfferResult => {
 	const target = targetOf(state, request.target, nowMs);
 	const team = teamQueueOf(target.queue, request.teamId, weightOf(state, request.teamId));
-	const refusal = objection(state, target, team, {request, nowMs}) ?? takeFromBucket(state, request, nowMs);
+	const refusal = findRefusal(state, target, team, {request, nowMs}) ?? chargeBucket(state, request, nowMs);
 	if (refusal !== null) {
 		return refusal;
 	}
 
 	const item: QueuedRequest = {
-		request, rank: nowMs + (request.priority * state.options.priorityStepMs), state: 'waiting', offeredAtMs: nowMs, takenAtMs: 0,
+		request, rank: nowMs + (request.priority * state.options.priorityStepMs), state: 'waiting', enqueuedAtMs: nowMs, dispatchedAtMs: 0,
 	};
 	state.requests.set(request.requestId, item);
 	pushRequest(target.queue, team, item);
 	return {type: 'queued'};
 };
 
-const takeFromBucket = (state: AdmissionState, {requestId, teamId, cost}: AdmissionRequest, nowMs: number): AdmissionRefusal | null => {
+const chargeBucket = (state: AdmissionState, {requestId, teamId, cost}: AdmissionRequest, nowMs: number): AdmissionRefusal | null => {
 	const team = state.teams.get(teamId);
 	const bucket = team?.bucket ?? null;
 	if (team === undefined || bucket === null) {
@@ -153,21 +153,21 @@
 	return waitMs === 0 ? null : refuse(requestId, 'teamLimit', waitMs);
 };
 
-type Asking = {readonly request: AdmissionRequest; readonly nowMs: number};
+type AdmissionCheck = {readonly request: AdmissionRequest; readonly nowMs: number};
 
-const objection = (state: AdmissionState, target: Target, team: TeamQueue, {request, nowMs}: Asking): AdmissionRefusal | null => {
+const findRefusal = (state: AdmissionState, target: Target, team: TeamQueue, {request, nowMs}: AdmissionCheck): AdmissionRefusal | null => {
 	const {queue, rate} = target;
 	if (queue.count === 0) {
 		return null;
 	}
 
-	const waitMs = waitMsFor(target, team, team.cost);
+	const waitMs = expectedTeamWaitMs(target, team, team.cost);
 	if (queue.count >= state.options.maxQueuedPerTarget) {
 		return refuse(request.requestId, 'targetQueueFull', waitMs);
 	}
 
-	// Dynamic threshold: a team may hold as much as is still free, so however
-	// many come at once, the next team finds room without pushing anybody out.
+	// Dynamic threshold: a team may queue at most as many requests as there are free places. However large
+	// a burst is, the next team still finds free places and no queued request has to be evicted.
 	const free = state.options.maxQueuedPerTarget - queue.count;
 	if (team.count >= Math.min(state.options.maxQueuedPerTeam, free)) {
 		return refuse(request.requestId, 'teamQueueFull', waitMs);
@@ -179,11 +179,11 @@
 
 export type TakeResult = {
 	readonly request: AdmissionRequest | null;
-	/** Those on the way whose deadline can no longer be met. */
+	/** Requests that were skipped because they can no longer meet their deadline. */
 	readonly refused: readonly AdmissionRefusal[];
 };
 
-/** The next request in fair order; called when an endpoint has room. */
+/** Dequeues the next request in fair order; called when an endpoint has spare slots. */
 export const takeRequest = (state: AdmissionState, targetKey: string, nowMs: number): TakeResult => {
 	const refused: AdmissionRefusal[] = [];
 	const target = state.targets.get(targetKey);
@@ -194,26 +194,26 @@
 		}
 
 		const {request} = item;
-		if (slackMsOf(target!.rate, request, nowMs) >= 0 || nowMs === item.offeredAtMs) {
-			item.takenAtMs = nowMs;
+		if (slackMsOf(target!.rate, request, nowMs) >= 0 || nowMs === item.enqueuedAtMs) {
+			item.dispatchedAtMs = nowMs;
 			target!.running.add(item);
 			return {request, refused};
 		}
 
 		state.requests.delete(request.requestId);
-		returnToBucket(state, request);
+		refundBucket(state, request);
 		refused.push(refuse(request.requestId, 'deadline', expectedWaitMs(target!.rate, target!.queue.cost, 1)));
 	}
 };
 
-const returnToBucket = (state: AdmissionState, {teamId, cost}: AdmissionRequest): void => {
+const refundBucket = (state: AdmissionState, {teamId, cost}: AdmissionRequest): void => {
 	const bucket = state.teams.get(teamId)?.bucket ?? null;
 	if (bucket !== null) {
 		returnTokens(bucket, cost);
 	}
 };
 
-/** Puts a taken request back in its old place: the endpoint turned out to be full. */
+/** Returns a dequeued request to its former queue position, because the endpoint turned out to be full. */
 export const returnToQueue = (state: AdmissionState, requestId: string): void => {
 	const item = state.requests.get(requestId);
 	if (item?.state !== 'taken') {
@@ -225,7 +225,7 @@
 	returnRequest(queue, teamQueueOf(queue, item.request.teamId, weightOf(state, item.request.teamId)), item);
 };
 
-/** The caller has gone. What still waits leaves the queue; what runs is ended by `finishRequest`. */
+/** Removes a queued request whose caller has disconnected. A running request is ended by `finishRequest`. */
 export const cancelRequest = (state: AdmissionState, requestId: string): void => {
 	const item = state.requests.get(requestId);
 	if (item?.state !== 'waiting') {
@@ -233,12 +233,12 @@
 	}
 
 	dropRequest(state.targets.get(item.request.target)!.queue, item);
-	returnToBucket(state, item.request);
+	refundBucket(state, item.request);
 	state.requests.delete(requestId);
 };
 
 export type Finish = {
-	/** The endpoint did the work, so the time tells how fast it is. */
+	/** The endpoint executed the request, so its duration counts towards the service rate. */
 	readonly hasRun: boolean;
 };
 
@@ -252,7 +252,7 @@
 	const target = state.targets.get(item.request.target)!;
 	target.running.delete(item);
 	if (hasRun) {
-		noteServed(target.rate, item, nowMs);
+		recordServed(target.rate, item, nowMs);
 	}
 
 	advanceTarget(target, nowMs);
@@ -263,9 +263,9 @@
 };
 
 /**
- * Looks through the queues again, a few times a second: when capacity is lost
- * (a hall is gone), what can no longer be served in time is refused now
- * instead of at its deadline.
+ * Re-evaluates the queues; called several times per second. When capacity is
+ * lost (an availability zone fails, for example), requests that can no longer
+ * meet their deadline are refused now instead of at the deadline.
  */
 export const tickAdmission = (state: AdmissionState, nowMs: number): AdmissionRefusal[] => {
 	const refused: AdmissionRefusal[] = [];
@@ -273,7 +273,7 @@
 		advanceTarget(target, nowMs);
 		for (const team of target.queue.teams.values()) {
 			if (team.count > 0) {
-				shedLate(state, target, {team, refused, nowMs});
+				refuseLateRequests(state, target, {team, refused, nowMs});
 			}
 		}
 	}
@@ -281,13 +281,13 @@
 	return refused;
 };
 
-type Shedding = {readonly team: TeamQueue; readonly refused: AdmissionRefusal[]; readonly nowMs: number};
+type SheddingContext = {readonly team: TeamQueue; readonly refused: AdmissionRefusal[]; readonly nowMs: number};
 
-const shedLate = (state: AdmissionState, target: Target, {team, refused, nowMs}: Shedding): void => {
+const refuseLateRequests = (state: AdmissionState, target: Target, {team, refused, nowMs}: SheddingContext): void => {
 	let costAhead = 0;
 	for (const item of waitingInOrder(team)) {
 		const {request} = item;
-		const waitMs = waitMsFor(target, team, costAhead);
+		const waitMs = expectedTeamWaitMs(target, team, costAhead);
 		const slackMs = slackMsOf(target.rate, request, nowMs);
 		if (waitMs > slackMs) {
 			cancelRequest(state, request.requestId);
@@ -298,5 +298,5 @@
 	}
 };
 
-/** Requests that wait for a target. */
+/** Number of requests queued for a target. */
 export const waitingFor = (state: AdmissionState, targetKey: string): number => state.targets.get(targetKey)?.queue.count ?? 0;
--- a/packages/coordination/src/admission/entry-shares.ts
+++ b/packages/coordination/src/admission/entry-shares.ts
@@ -1,91 +1,92 @@
 import {
-	answerLoans, borrowedRate, committedRate, createLoans, dropLoansOf, planLoans, pruneLoans, takeLoans, type Loans,
+	grantLoans, borrowedRate, committedRate, createLoans, dropLoansOf, planLoans, pruneLoans, recordLoans, type Loans,
 } from './loans.js';
-import {noteUse, type Need, type TeamUse} from './share-needs.js';
+import {updateNeeds, type Need, type TeamUsage} from './share-needs.js';
 
 export type EntrySharesOptions = {
 	readonly entryId: string;
-	/** Greater after each start. */
+	/** Increases with every start. */
 	readonly incarnation: number;
-	/** How long a loan lasts, from its asking. @default 3000 */
+	/** Duration of a loan, counted from its request. @default 3000 */
 	readonly loanMs?: number;
-	/** What a lender adds to that, for clocks that run unlike and ticks that come late. @default 500 */
+	/** Added to that by the lender, to allow for clock drift and delayed ticks. @default 500 */
 	readonly marginMs?: number;
-	/** An entry that control has not named for this long gives up its part. @default 12000 */
-	readonly forgetMs?: number;
+	/** An entry that control has not listed for this long gives up its share. @default 12000 */
+	readonly unlistedTimeoutMs?: number;
 	/** @default 1000 */
-	readonly askEveryMs?: number;
-	/** Entries asked at a time. @default 16 */
-	readonly lendersAtOnce?: number;
+	readonly requestIntervalMs?: number;
+	/** Maximum number of entries asked for a loan at the same time. @default 16 */
+	readonly maxLenders?: number;
 };
 
-/** What one entry asks of another; without wants it only says that it is there. */
+/** Loan request from one entry to another; without `wants` it only announces the sender. */
 export type ShareRequest = {
 	readonly entryId: string;
 	readonly incarnation: number;
-	/** Grows with each request to the same entry. */
+	/** Sequence number; increases with each request to the same entry. */
 	readonly number: number;
-	/** Number of the last request whose answer was taken: what was granted before it is void. */
+	/** Number of the last request whose answer was applied; earlier grants are void. */
 	readonly taken: number;
-	/** Tokens a second, by team. */
+	/** Tokens per second, by team. */
 	readonly wants: Readonly<Record<string, number>>;
 };
 
 export type ShareAnswer = {
 	readonly incarnation: number;
 	readonly number: number;
-	/** The entry asked counts the asking one among those that share the limit. */
+	/** The responder counts the requester among the entries that share the limit. */
 	readonly isCounted: boolean;
-	/** All entries that it counts. */
+	/** All entries that the responder counts. */
 	readonly entryIds: readonly string[];
-	/** Until what it lent fits into its part as it is now. */
+	/** Time until the responder's outstanding loans fit into its current share. */
 	readonly waitMs: number;
 	readonly loans: Readonly<Record<string, number>>;
 };
 
 type Member = {
-	/** Since when control does not name it; `null` while it does. */
-	missingSinceMs: number | null;
+	/** When control stopped listing it; `null` while it is listed. */
+	unlistedSinceMs: number | null;
 	incarnation: number;
-	/** From when on it leaves this entry its part; `null` until it has said so. */
+	/** When it will have released this entry's share; `null` until it has answered. */
 	readyAtMs: number | null;
 };
 
-/** One entry's part of the fleet-wide limit: an equal part, less what it lent, and what it borrowed. */
+/** One entry's share of the fleet-wide limit: an equal share, minus what it lent, plus what it borrowed. */
 export type EntryShares = {
 	readonly options: Required<EntrySharesOptions>;
 	readonly members: Map<string, Member>;
-	/** Tokens a second over all entries, by team. */
+	/** Tokens per second over all entries, by team. */
 	teamRates: ReadonlyMap<string, number>;
 	readonly needs: Map<string, Need>;
 	readonly loans: Loans;
-	/** Since when control names this entry; `null` while it does not. */
-	listedAtMs: number | null;
-	/** When control was last asked and named this entry. */
+	/** When control started listing this entry; `null` while it is not listed. */
+	listedSinceMs: number | null;
+	/** When the last request to control whose response listed this entry was sent. */
 	namedAtMs: number;
 	isJoined: boolean;
-	askedAtMs: number;
+	lastRequestsAtMs: number;
 };
 
 export const createEntryShares = (options: EntrySharesOptions): EntryShares => ({
 	options: {
-		loanMs: 3000, marginMs: 500, forgetMs: 12_000, askEveryMs: 1000, lendersAtOnce: 16, ...options,
+		loanMs: 3000, marginMs: 500, unlistedTimeoutMs: 12_000, requestIntervalMs: 1000, maxLenders: 16, ...options,
 	},
-	members: new Map(), teamRates: new Map(), needs: new Map(), loans: createLoans(), listedAtMs: null, namedAtMs: Number.NEGATIVE_INFINITY, isJoined: false, askedAtMs: Number.NEGATIVE_INFINITY,
+	members: new Map(), teamRates: new Map(), needs: new Map(), loans: createLoans(),
+	listedSinceMs: null, namedAtMs: Number.NEGATIVE_INFINITY, isJoined: false, lastRequestsAtMs: Number.NEGATIVE_INFINITY,
 });
 
-/** Takes what each team may have a second over all entries. */
+/** Sets the fleet-wide rate of each team, in tokens per second. */
 export const setTeamRates = (state: EntryShares, teamRates: ReadonlyMap<string, number>): void => {
 	state.teamRates = teamRates;
 };
 
-/** Entries that share the limit, this one included. */
+/** Number of entries that share the limit, including this one. */
 export const countEntries = ({members}: EntryShares): number => members.size + 1;
 
-const addMember = ({members}: EntryShares, entryId: string): Member => {
+const getOrAddMember = ({members}: EntryShares, entryId: string): Member => {
 	let member = members.get(entryId);
 	if (member === undefined) {
-		member = {missingSinceMs: null, incarnation: 0, readyAtMs: null};
+		member = {unlistedSinceMs: null, incarnation: 0, readyAtMs: null};
 		members.set(entryId, member);
 	}
 
@@ -93,56 +94,56 @@
 };
 
 /**
- * Takes control's list of entries. A new one counts at once; one that is no
- * longer named counts on for a while: it may still spend its part, or a leader
- * that has just taken over may not have heard of it yet.
+ * Applies control's list of entries. A new entry counts immediately. One that is
+ * no longer listed keeps counting for a while: it may still be spending its
+ * share, or a newly elected leader may not have received its report yet.
  */
 export const takeEntries = (state: EntryShares, entryIds: readonly string[], {askedAtMs, nowMs}: {readonly askedAtMs: number; readonly nowMs: number}): void => {
 	const {entryId: ownId} = state.options;
 	if (entryIds.includes(ownId)) {
-		state.listedAtMs ??= nowMs;
+		state.listedSinceMs ??= nowMs;
 		state.namedAtMs = Math.max(state.namedAtMs, askedAtMs);
 	}
 
-	const named = new Set(entryIds);
-	for (const entryId of named) {
+	const listed = new Set(entryIds);
+	for (const entryId of listed) {
 		if (entryId !== ownId) {
-			addMember(state, entryId).missingSinceMs = null;
+			getOrAddMember(state, entryId).unlistedSinceMs = null;
 		}
 	}
 
 	for (const [entryId, member] of state.members) {
-		if (!named.has(entryId)) {
-			member.missingSinceMs ??= nowMs;
+		if (!listed.has(entryId)) {
+			member.unlistedSinceMs ??= nowMs;
 		}
 	}
 };
 
-/** After this long an entry that cannot reach control has given up its part, and what it lent just before has ended. */
-const goneMs = ({forgetMs, loanMs, marginMs}: Required<EntrySharesOptions>): number => forgetMs + loanMs + marginMs;
+/** After this time an entry that cannot reach control has given up its share, and its most recent loans have expired. */
+const removalDelayMs = ({unlistedTimeoutMs, loanMs, marginMs}: Required<EntrySharesOptions>): number => unlistedTimeoutMs + loanMs + marginMs;
 
-const dropMissing = ({members, options}: EntryShares, nowMs: number): void => {
-	for (const [entryId, {missingSinceMs}] of members) {
-		if (missingSinceMs !== null && nowMs - missingSinceMs >= goneMs(options)) {
+const removeExpiredMembers = ({members, options}: EntryShares, nowMs: number): void => {
+	for (const [entryId, {unlistedSinceMs}] of members) {
+		if (unlistedSinceMs !== null && nowMs - unlistedSinceMs >= removalDelayMs(options)) {
 			members.delete(entryId);
 		}
 	}
 };
 
-/** An equal part; nothing before the others have left it to this entry. */
-export const ownPart = (state: EntryShares, teamId: string): number => state.isJoined
+/** An equal share; zero until the other entries have released it to this entry. */
+export const baseShare = (state: EntryShares, teamId: string): number => state.isJoined
 	? (state.teamRates.get(teamId) ?? 0) / countEntries(state)
 	: 0;
 
-/** Tokens a second that this entry may let through for a team now. */
-export const shareOf = (state: EntryShares, teamId: string, nowMs: number): number => Math.max(0, ownPart(state, teamId) - committedRate(state.loans, teamId, nowMs))
+/** Tokens per second that this entry may currently admit for a team. */
+export const shareOf = (state: EntryShares, teamId: string, nowMs: number): number => Math.max(0, baseShare(state, teamId) - committedRate(state.loans, teamId, nowMs))
 	+ borrowedRate(state.loans, teamId, nowMs);
 
-/** Until what this entry lent fits into its part again, after the part became smaller. */
+/** Time until this entry's outstanding loans fit into its share again, after the share became smaller. */
 const overcommittedMs = (state: EntryShares, nowMs: number): number => {
 	let untilMs = nowMs;
 	for (const teamId of state.teamRates.keys()) {
-		if (committedRate(state.loans, teamId, nowMs) > ownPart(state, teamId)) {
+		if (committedRate(state.loans, teamId, nowMs) > baseShare(state, teamId)) {
 			for (const grants of state.loans.lent.values()) {
 				for (const grant of grants) {
 					untilMs = Math.max(untilMs, grant.untilMs);
@@ -154,8 +155,8 @@
 	return untilMs - nowMs;
 };
 
-/** An entry that was started anew has forgotten what it lent, and would spend it a second time. */
-const noteIncarnation = ({members, loans}: EntryShares, entryId: string, incarnation: number): void => {
+/** Drops the loans from a restarted entry: it no longer knows about them and would spend the same tokens again. */
+const updateIncarnation = ({members, loans}: EntryShares, entryId: string, incarnation: number): void => {
 	const member = members.get(entryId)!;
 	if (incarnation > member.incarnation) {
 		dropLoansOf(loans, entryId);
@@ -163,118 +164,119 @@
 	}
 };
 
-/** Answers another entry. One that control has not named yet is told so, and nothing is lent to it. */
+/** Answers another entry. An entry that control has not listed yet is not counted and gets no loan. */
 export const answerShareRequest = (state: EntryShares, request: ShareRequest, nowMs: number): ShareAnswer => {
 	const {entryId, incarnation, number} = request;
 	const member = state.members.get(entryId);
-	// One that control does not name at present may stop to count at any moment.
-	const isCounted = member?.missingSinceMs === null && incarnation >= member.incarnation;
+	// An entry that control does not list at present may stop being counted at any moment.
+	const isCounted = member?.unlistedSinceMs === null && incarnation >= member.incarnation;
 	if (isCounted) {
-		noteIncarnation(state, entryId, incarnation);
+		updateIncarnation(state, entryId, incarnation);
 	}
 
 	const {loanMs, marginMs, entryId: ownId} = state.options;
 	const lending = {spareOf: (teamId: string) => spareOf(state, teamId, nowMs), nowMs, untilMs: nowMs + loanMs + marginMs};
 	return {
 		incarnation: state.options.incarnation, number, isCounted, entryIds: [ownId, ...state.members.keys()], waitMs: overcommittedMs(state, nowMs),
-		loans: isCounted ? answerLoans(state.loans, request, lending) : {},
+		loans: isCounted ? grantLoans(state.loans, request, lending) : {},
 	};
 };
 
-/** What this entry could lend: its part without what it needs itself. What it borrowed it does not lend on. */
-const spareOf = (state: EntryShares, teamId: string, nowMs: number): number => ownPart(state, teamId) - (state.needs.get(teamId)?.rate ?? 0)
+/** Rate that this entry can lend: its share minus its own needs. Borrowed tokens are not lent on. */
+const spareOf = (state: EntryShares, teamId: string, nowMs: number): number => baseShare(state, teamId) - (state.needs.get(teamId)?.rate ?? 0)
 	- committedRate(state.loans, teamId, nowMs);
 
-/** Takes the answer of another entry to a request that was sent at `sentAtMs`. */
+/** Applies another entry's answer to a request that was sent at `sentAtMs`. */
 export const takeShareAnswer = (state: EntryShares, from: string, answer: ShareAnswer, {sentAtMs, nowMs}: {readonly sentAtMs: number; readonly nowMs: number}): void => {
 	const member = state.members.get(from);
 	if (member === undefined || answer.incarnation < member.incarnation || !answer.isCounted) {
 		return;
 	}
 
-	noteIncarnation(state, from, answer.incarnation);
-	if (state.listedAtMs !== null) {
+	updateIncarnation(state, from, answer.incarnation);
+	if (state.listedSinceMs !== null) {
 		member.readyAtMs ??= nowMs + answer.waitMs;
 	}
 
 	if (!state.isJoined) {
-		// It joins together with others that control has not named to it yet.
+		// Other entries that control has not listed to this one yet may be joining at the same time.
 		for (const entryId of answer.entryIds.filter(id => id !== state.options.entryId)) {
-			addMember(state, entryId);
+			getOrAddMember(state, entryId);
 		}
 	}
 
-	takeLoans(state.loans, from, answer, sentAtMs + state.options.loanMs);
+	recordLoans(state.loans, from, answer, sentAtMs + state.options.loanMs);
 };
 
 /**
- * Others stop to count an entry that control does not name, and take its part.
- * One that was cut off comes back with nothing, or its part would be spent twice.
+ * Other entries stop counting an entry that control no longer lists and take over
+ * its share. An entry that was disconnected therefore rejoins with nothing;
+ * otherwise its share would be spent twice.
  */
-const noteForgotten = (state: EntryShares, nowMs: number): void => {
-	if (state.listedAtMs === null || nowMs - state.namedAtMs < state.options.forgetMs) {
+const leaveIfUnlisted = (state: EntryShares, nowMs: number): void => {
+	if (state.listedSinceMs === null || nowMs - state.namedAtMs < state.options.unlistedTimeoutMs) {
 		return;
 	}
 
 	state.isJoined = false;
-	state.listedAtMs = null;
+	state.listedSinceMs = null;
 	for (const member of state.members.values()) {
 		member.readyAtMs = null;
 	}
 };
 
-const noteJoined = (state: EntryShares, nowMs: number): void => {
-	const {listedAtMs, members, options} = state;
-	if (state.isJoined || listedAtMs === null) {
+const joinIfReady = (state: EntryShares, nowMs: number): void => {
+	const {listedSinceMs, members, options} = state;
+	if (state.isJoined || listedSinceMs === null) {
 		return;
 	}
 
-	// One that does not answer has either heard of this entry from control or not heard control at all.
-	const isOverdue = nowMs - listedAtMs >= goneMs(options);
+	// By then an entry that does not answer has either learned of this entry from control or lost control and given up its share.
+	const isOverdue = nowMs - listedSinceMs >= removalDelayMs(options);
 	state.isJoined = [...members.values()].every(({readyAtMs}) => readyAtMs === null ? isOverdue : readyAtMs <= nowMs);
 };
 
-/** A request to be sent to an entry. */
+/** A loan request and the entry to send it to. */
 export type ShareAsk = {readonly to: string; readonly request: ShareRequest};
 
-/** Called once or twice a second with what the teams used; returns whom to ask for what. */
-export const tickShares = (state: EntryShares, uses: ReadonlyMap<string, TeamUse>, nowMs: number): ShareAsk[] => {
-	const elapsedMs = nowMs - state.askedAtMs;
+/** Called once or twice per second with the teams' usage; returns the loan requests to send. */
+export const tickShares = (state: EntryShares, usages: ReadonlyMap<string, TeamUsage>, nowMs: number): ShareAsk[] => {
+	const elapsedMs = nowMs - state.lastRequestsAtMs;
 	pruneLoans(state.loans, nowMs);
-	dropMissing(state, nowMs);
-	noteForgotten(state, nowMs);
-	noteJoined(state, nowMs);
-	if (elapsedMs < state.options.askEveryMs) {
+	removeExpiredMembers(state, nowMs);
+	leaveIfUnlisted(state, nowMs);
+	joinIfReady(state, nowMs);
+	if (elapsedMs < state.options.requestIntervalMs) {
 		return [];
 	}
 
-	noteUse(state.needs, uses, Number.isFinite(elapsedMs) ? elapsedMs : 0);
-	state.askedAtMs = nowMs;
-	const lacking = new Map<string, number>();
+	updateNeeds(state.needs, usages, Number.isFinite(elapsedMs) ? elapsedMs : 0);
+	state.lastRequestsAtMs = nowMs;
+	const shortfall = new Map<string, number>();
 	for (const [teamId, {rate, demand}] of state.needs) {
-		// What lacks may be negative: then less is borrowed from now on. Without demand the own part is enough.
+		// A negative shortfall means that less is borrowed from now on. Without demand the entry's own share is enough.
 		const wanted = demand < 1 ? 0 : rate;
-		lacking.set(teamId, wanted - shareOf(state, teamId, nowMs));
+		shortfall.set(teamId, wanted - shareOf(state, teamId, nowMs));
 	}
 
 	const plan = planLoans(state.loans, {
-		memberIds: [...state.members.keys()], lacking, lendersAtOnce: state.options.lendersAtOnce, nowMs,
+		memberIds: [...state.members.keys()], shortfall, maxLenders: state.options.maxLenders, nowMs,
 	});
-	const asks: ShareAsk[] = [];
-	const isJoining = !state.isJoined && state.listedAtMs !== null && state.teamRates.size > 0;
+	const requests: ShareAsk[] = [];
+	const isJoining = !state.isJoined && state.listedSinceMs !== null && state.teamRates.size > 0;
 	for (const [to, {readyAtMs}] of state.members) {
 		const wants = plan.get(to);
 		if (wants !== undefined || (isJoining && readyAtMs === null)) {
-			asks.push({to, request: nextRequest(state, to, wants ?? {})});
+			requests.push({to, request: nextRequest(state, to, wants ?? {})});
 		}
 	}
 
-	return asks;
+	return requests;
 };
 
 const nextRequest = ({options, loans}: EntryShares, to: string, wants: Readonly<Record<string, number>>): ShareRequest => {
-	const number = (loans.asked.get(to) ?? 0) + 1;
-	loans.asked.set(to, number);
+	const number = (loans.requestNumbers.get(to) ?? 0) + 1;
+	loans.requestNumbers.set(to, number);
 	return {
 		entryId: options.entryId, incarnation: options.incarnation, number, taken: loans.borrowed.get(to)?.number ?? 0, wants,
 	};
--- a/packages/coordination/src/admission/index.ts
+++ b/packages/coordination/src/admission/index.ts
@@ -4,6 +4,6 @@
 	type EntryShares, type EntrySharesOptions, type ShareAnswer, type ShareAsk, type ShareRequest,
 } from './entry-shares.js';
 export * from './retry-budget.js';
-export type {TeamUse} from './share-needs.js';
+export type {TeamUsage} from './share-needs.js';
 export * from './team-limits.js';
 export type * from './types.js';
--- a/packages/coordination/src/admission/retry-budget.ts
+++ b/packages/coordination/src/admission/retry-budget.ts
@@ -1,6 +1,7 @@
 /**
- * Allows retries as a share of fresh requests. Without it, a hall that is gone
- * turns each request into several, and the rest is overrun by the retries.
+ * Limits retries to a fraction of first attempts. Without this limit, the failure
+ * of an availability zone turns each request into several attempts, and the
+ * retries overload the remaining zones.
  */
 export type RetryBudget = {
 	readonly share: number;
@@ -11,11 +12,11 @@
 };
 
 export type RetryBudgetOptions = {
-	/** Retries per fresh request. @default 0.2 */
+	/** Retries allowed per first attempt. @default 0.2 */
 	readonly share?: number;
-	/** Retries a second that are allowed with hardly any traffic. @default 2 */
+	/** Retries per second that are allowed regardless of traffic. @default 2 */
 	readonly reservePerSecond?: number;
-	/** Most that can be saved up. @default 100 */
+	/** Maximum number of retries that can accumulate. @default 100 */
 	readonly most?: number;
 	readonly nowMs: number;
 };
@@ -28,17 +29,17 @@
 	budget.level = Math.min(budget.most, budget.level + budget.share);
 };
 
-/** Milliseconds until the reserve alone allows a retry; `undefined` if it never does. */
+/** Milliseconds until the reserve alone allows another retry; `undefined` if it never does. */
 export const msUntilRetry = ({level, reservePerSecond}: RetryBudget): number | undefined => reservePerSecond > 0
 	? Math.ceil(Math.max(0, 1 - level) / reservePerSecond * 1000)
 	: undefined;
 
-/** Gives back a retry that was taken and not sent. */
+/** Returns a retry that was taken from the budget but not sent. */
 export const returnRetry = (budget: RetryBudget): void => {
 	budget.level = Math.min(budget.most, budget.level + 1);
 };
 
-/** Whether one more retry may be sent; takes it from the budget if so. */
+/** Whether another retry may be sent; if so, takes it from the budget. */
 export const takeRetry = (budget: RetryBudget, nowMs: number): boolean => {
 	const reserve = budget.reservePerSecond * Math.max(0, nowMs - budget.refilledAtMs) / 1000;
 	budget.level = Math.min(budget.most, budget.level + reserve);
--- a/packages/coordination/src/admission/share-needs.ts
+++ b/packages/coordination/src/admission/share-needs.ts
@@ -1,41 +1,41 @@
-/** What a team's bucket tells of its use. */
-export type TeamUse = {
-	/** Tokens asked for since the start, let through or not. */
+/** A team's usage, as read from its token bucket. */
+export type TeamUsage = {
+	/** Tokens requested since the start, whether admitted or not. */
 	readonly offered: number;
 	readonly level: number;
 	readonly burst: number;
 };
 
-/** What an entry needs for one team. */
+/** Rate that an entry needs for one team. */
 export type Need = {
 	offered: number;
-	/** Tokens asked for a second. */
+	/** Tokens requested per second, smoothed. */
 	demand: number;
-	/** The same, and what fills the bucket again. */
+	/** `demand` plus the rate that refills the bucket. */
 	rate: number;
 };
 
-const demandMs = 2000;
-const refillSeconds = 20;
+const demandTimeConstantMs = 2000;
+const bucketRefillSeconds = 20;
 
 /**
- * What a team asks for here, smoothed, and what its bucket lacks, so that it
- * fills again. Filled faster, or where nobody asks, entries would keep for their buckets
- * what others have requests for (docs/design/0043).
+ * Updates each team's smoothed demand and adds the rate that refills its bucket.
+ * If buckets were refilled faster, or without demand, entries would use rate for
+ * their buckets that other entries need for requests (docs/design/0043).
  */
-export const noteUse = (needs: Map<string, Need>, uses: ReadonlyMap<string, TeamUse>, elapsedMs: number): void => {
+export const updateNeeds = (needs: Map<string, Need>, usages: ReadonlyMap<string, TeamUsage>, elapsedMs: number): void => {
 	for (const teamId of needs.keys()) {
-		if (!uses.has(teamId)) {
+		if (!usages.has(teamId)) {
 			needs.delete(teamId);
 		}
 	}
 
-	for (const [teamId, {offered, level, burst}] of uses) {
+	for (const [teamId, {offered, level, burst}] of usages) {
 		const need = needs.get(teamId) ?? {offered, demand: 0, rate: 0};
-		const seen = elapsedMs > 0 ? (offered - need.offered) * 1000 / elapsedMs : need.demand;
-		need.demand += (seen - need.demand) * (1 - Math.exp(-elapsedMs / demandMs));
+		const observed = elapsedMs > 0 ? (offered - need.offered) * 1000 / elapsedMs : need.demand;
+		need.demand += (observed - need.demand) * (1 - Math.exp(-elapsedMs / demandTimeConstantMs));
 		need.offered = offered;
-		need.rate = need.demand + Math.min(need.demand, Math.max(0, burst - level) / refillSeconds);
+		need.rate = need.demand + Math.min(need.demand, Math.max(0, burst - level) / bucketRefillSeconds);
 		needs.set(teamId, need);
 	}
 };
--- a/packages/coordination/src/admission/team-limits.ts
+++ b/packages/coordination/src/admission/team-limits.ts
@@ -1,7 +1,7 @@
 import type {AdmissionState} from './admission.js';
-import type {TeamUse} from './share-needs.js';
+import type {TeamUsage} from './share-needs.js';
 
-/** What each team may have a second over all entries; nothing without a limit. */
+/** Fleet-wide rate of each team in tokens per second; empty without a limit. */
 export const teamRatesOf = ({options: {fleetTokensPerSecond}}: AdmissionState, teams: ReadonlyMap<string, number>): Map<string, number> => {
 	let totalWeight = 0;
 	for (const weight of teams.values()) {
@@ -11,19 +11,19 @@
 	return new Map(fleetTokensPerSecond === null ? [] : [...teams].map(([teamId, weight]) => [teamId, fleetTokensPerSecond * weight / totalWeight]));
 };
 
-/** What the teams use of their buckets. */
-export const teamUses = ({teams}: AdmissionState): Map<string, TeamUse> => {
-	const uses = new Map<string, TeamUse>();
+/** Usage of each team that has a token bucket. */
+export const teamUses = ({teams}: AdmissionState): Map<string, TeamUsage> => {
+	const usages = new Map<string, TeamUsage>();
 	for (const [teamId, {bucket, offered}] of teams) {
 		if (bucket !== null) {
-			uses.set(teamId, {offered, level: bucket.level, burst: bucket.burst});
+			usages.set(teamId, {offered, level: bucket.level, burst: bucket.burst});
 		}
 	}
 
-	return uses;
+	return usages;
 };
 
-/** For an entry that shares the limit with nobody: what it let through before is not known, and nobody else did. */
+/** Fills all buckets, for an entry that shares the limit with no other: its usage before the start is unknown, and no other entry has spent the burst. */
 export const fillBuckets = ({teams}: AdmissionState): void => {
 	for (const {bucket} of teams.values()) {
 		if (bucket !== null) {
--- a/packages/coordination/src/admission/token-bucket.ts
+++ b/packages/coordination/src/admission/token-bucket.ts
@@ -1,7 +1,7 @@
-/** Limits a rate and allows bursts up to a size. Refilled when asked, so that it costs nothing while idle. */
+/** Limits a rate and allows bursts up to a size. Refilled lazily on use, so that an idle bucket costs nothing. */
 export type TokenBucket = {
 	ratePerSecond: number;
-	/** Most that can be saved up. */
+	/** Maximum number of tokens that can accumulate. */
 	burst: number;
 	level: number;
 	refilledAtMs: number;
@@ -25,8 +25,8 @@
 
 /**
  * Takes `cost` and returns 0, or takes nothing and returns the milliseconds
- * until it could. A cost above the burst is let through on a full bucket, which
- * it overdraws: it would otherwise be refused for ever.
+ * until it could. A cost above the burst is admitted on a full bucket, which it
+ * overdraws; otherwise it would never be admitted.
  */
 export const takeTokens = (bucket: TokenBucket, cost: number, nowMs: number): number => {
 	refill(bucket, nowMs);
@@ -39,12 +39,12 @@
 	return bucket.ratePerSecond > 0 ? Math.ceil((needed - bucket.level) / bucket.ratePerSecond * 1000) : Number.POSITIVE_INFINITY;
 };
 
-/** Gives back what a request took that then did not run. */
+/** Refunds the tokens of a request that did not run. */
 export const returnTokens = (bucket: TokenBucket, cost: number): void => {
 	bucket.level = Math.min(bucket.burst, bucket.level + cost);
 };
 
-/** Changes the limit and keeps what is owed; a limit that moves with the number of entries must not refill a spent bucket. */
+/** Changes the limit and keeps any debt: a limit that changes with the number of entries must not refill a spent bucket. */
 export const setBucketRate = (bucket: TokenBucket, ratePerSecond: number, burst: number, nowMs: number): void => {
 	refill(bucket, nowMs);
 	bucket.ratePerSecond = ratePerSecond;
--- a/packages/coordination/src/admission/types.ts
+++ b/packages/coordination/src/admission/types.ts
@@ -1,37 +1,37 @@
-/** A request as admission sees it. */
+/** A request as seen by admission control. */
 export type AdmissionRequest = {
 	readonly requestId: string;
 	readonly teamId: string;
-	/** What it asks for, as one key: the queue that it waits in. */
+	/** Key of the requested model or service; it selects the queue. */
 	readonly target: string;
-	/** Expected tokens of prompt and answer; 1 or more. */
+	/** Expected tokens of prompt and answer; at least 1. */
 	readonly cost: number;
-	/** 0 is the most urgent. Orders a team's own requests; it never goes before another team's share. */
+	/** 0 is the most urgent. Orders only the team's own requests and never takes from another team's share. */
 	readonly priority: number;
 	readonly deadlineAtMs: number;
-	/** What must have happened by the deadline: a stream need only begin. @default 'end' */
+	/** What must have happened by the deadline; a stream only has to begin. @default 'end' */
 	readonly deadlineFor?: 'begin' | 'end';
 };
 
 export type RefusalReason = 'teamLimit' | 'teamQueueFull' | 'targetQueueFull' | 'deadline';
 
-/** Nothing of a refused request has run. */
+/** No part of a refused request has run. */
 export type AdmissionRefusal = {
 	readonly type: 'refused';
 	readonly requestId: string;
 	readonly reason: RefusalReason;
-	/** When another try has a chance, as computed from limit and queue. */
+	/** When a retry is expected to succeed, computed from the limit and the queue. */
 	readonly retryAfterMs: number;
 };
 
 export type OfferResult = {readonly type: 'queued'} | AdmissionRefusal;
 
-/** A request in a queue, or running after it. */
+/** A request that is queued, or running after it was dequeued. */
 export type QueuedRequest = {
 	readonly request: AdmissionRequest;
-	/** Place within the team: arrival, later by a step for each level of priority. */
+	/** Sort key within the team: arrival time plus one step for each priority level. */
 	readonly rank: number;
 	state: 'waiting' | 'taken' | 'gone';
-	readonly offeredAtMs: number;
-	takenAtMs: number;
+	readonly enqueuedAtMs: number;
+	dispatchedAtMs: number;
 };
--- a/packages/coordination/test/share-world.ts
+++ b/packages/coordination/test/share-world.ts
@@ -1,5 +1,5 @@
 import {
-	answerShareRequest, createEntryShares, createRandom, setTeamRates, shareOf, takeEntries, takeShareAnswer, tickShares, type EntryShares, type Random, type ShareRequest, type TeamUse,
+	answerShareRequest, createEntryShares, createRandom, setTeamRates, shareOf, takeEntries, takeShareAnswer, tickShares, type EntryShares, type Random, type ShareRequest, type TeamUsage,
 } from '@bitternpaddle/coordination';
 
 /** Tokens a second of the one team over all entries. */
@@ -88,7 +88,7 @@
 		}
 
 		entry.offered += entry.demand * stepMs / 1000;
-		const use: TeamUse = {offered: entry.offered, level: 0, burst: 0};
+		const use: TeamUsage = {offered: entry.offered, level: 0, burst: 0};
 		for (const {to, request} of tickShares(entry.shares, new Map([['t', use]]), nowMs)) {
 			exchange(entry, to, request);
 		}
