--- a/packages/coordination/src/door/index.ts
+++ b/packages/coordination/src/door/index.ts
@@ -1,2 +1,2 @@
-export * from './door.js';
+export * from './request-gate.js';
 export * from './supervise.js';
--- a/packages/coordination/src/door/supervise.ts
+++ b/packages/coordination/src/door/supervise.ts
@@ -1,31 +1,31 @@
-/** What is known of a request that runs on the endpoint; times are on the agent's monotonic clock. */
-export type RunView = {
-	/** A run that may not be repeated is never ended because nobody waits: its outcome is asked for later. */
+/** State of a request that is running on the endpoint; times are on the agent's monotonic clock. */
+export type RunStatus = {
+	/** A non-repeatable run is not terminated when no caller is waiting, because its outcome is requested later. */
 	readonly isRepeatable: boolean;
-	/** When the endpoint last gave a byte; the start before the first. */
+	/** When the endpoint last sent a byte; the start of the run before the first byte. */
 	readonly lastByteAtMs: number;
-	/** The agent does not read from the endpoint, because the entry is slow. */
+	/** The agent has paused reading from the endpoint because the entry reads slowly. */
 	readonly isHeldBack: boolean;
 	readonly deadlineAtMs: number;
-	/** Since when no entry reads the answer; `null` while one does. */
+	/** When the last entry stopped reading the answer; `null` while one is reading. */
 	readonly unattendedSinceMs: number | null;
 };
 
 export type RunLimits = {
-	/** Without a byte for this long the endpoint is taken for stuck. */
+	/** An endpoint that sends no byte for this long is considered stuck. */
 	readonly endpointIdleMs: number;
-	/** How long an answer is produced while no entry reads it, for one that comes back. */
+	/** How long an answer is produced while no entry reads it, so that an entry can reconnect. */
 	readonly unattendedMs: number;
 };
 
 export type EndCause = 'endpointSilent' | 'deadline' | 'unattended';
 
 /**
- * Why a run is to be ended now, or `null`. Every run has an end: without that,
- * one request stuck at a silent engine would hold its slot for ever, and a
- * switch of versions, which waits for all runs, would never come about.
+ * Why a run must be terminated now, or `null`. Every run is bounded: otherwise one
+ * request stuck at an unresponsive engine would hold its slot forever, and a
+ * version switch, which waits for all runs, would never happen.
  */
-export const causeToEnd = (run: RunView, {endpointIdleMs, unattendedMs}: RunLimits, nowMs: number): EndCause | null => {
+export const causeToEnd = (run: RunStatus, {endpointIdleMs, unattendedMs}: RunLimits, nowMs: number): EndCause | null => {
 	if (!run.isHeldBack && nowMs - run.lastByteAtMs >= endpointIdleMs) {
 		return 'endpointSilent';
 	}
