--- a/packages/coordination/src/requests/attempt.ts
+++ b/packages/coordination/src/requests/attempt.ts
@@ -2,18 +2,18 @@
 import {match, P} from 'ts-pattern';
 
 /**
- * One attempt at one endpoint, as the entry sees it. Each effect is carried
- * out once and brings exactly one event, until `finish`.
+ * State machine of one attempt at one endpoint, on the entry's side. Each effect
+ * is carried out once and produces exactly one event, until `finish`.
  */
 export type AttemptState = {
 	phase: 'sending' | 'settling' | 'resuming' | 'answering' | 'ended';
-	/** The head was handed on, so the caller may have seen a part of the answer. */
-	isPassedOn: boolean;
-	/** Bytes of the answer that have arrived. */
+	/** The head was forwarded, so the caller may have received part of the answer. */
+	isHeadForwarded: boolean;
+	/** Received bytes of the answer. */
 	offset: number;
-	/** Lost connections since the last byte. */
+	/** Connections lost since the last received byte. */
 	losses: number;
-	/** Why nobody wants the answer any more. */
+	/** Why the answer is no longer needed. */
 	givenUp: GiveUpCause | null;
 	readonly maxLosses: number;
 };
@@ -21,13 +21,13 @@
 export type GiveUpCause = 'deadline' | 'callerGone' | 'quarantined';
 
 export type AttemptEvent
-	/** The door refused, or the run failed before its first byte. */
+	/** The request gate refused, or the run failed before its first byte. */
 	= | {readonly type: 'refused'; readonly verdict: UnansweredVerdict; readonly isFull: boolean}
-	/** An answer begins; `isOwn` says whether it carries this request's id. */
+	/** An answer begins; `isOwn`: it carries this request's id. */
 		| {readonly type: 'head'; readonly isOwn: boolean}
 		| {readonly type: 'part'; readonly sizeBytes: number}
 		| {readonly type: 'end'; readonly isWhole: boolean}
-	/** Cut, or silent for too long. `isUnsent`: it never stood, so nothing was sent. */
+	/** The connection was cut or idle for too long. `isUnsent`: it was never established, so nothing was sent. */
 		| {readonly type: 'connectionLost'; readonly isUnsent: boolean; readonly reason: string}
 		| {readonly type: 'settled'; readonly result: 'ran' | 'running' | 'notRun' | 'unknown'}
 		| {readonly type: 'settleFailed'}
@@ -35,11 +35,11 @@
 
 export type AttemptEffect
 	= | {readonly type: 'send'}
-	/** Ask the door on a new connection; the one before is closed. */
+	/** Query the request gate on a new connection; the previous one is closed. */
 		| {readonly type: 'settle'; readonly isCancel: boolean}
-	/** Read on at `offset` on a new connection; the one before is closed. */
+	/** Continue reading at `offset` on a new connection; the previous one is closed. */
 		| {readonly type: 'resume'; readonly offset: number}
-	/** Hand the answer's head on, then read. */
+	/** Forward the answer's head, then read. */
 		| {readonly type: 'passOn'}
 		| {readonly type: 'read'}
 		| {readonly type: 'finish'; readonly end: AttemptEnd};
@@ -47,26 +47,26 @@
 export type AttemptEnd
 	= | {readonly type: 'whole'}
 		| {readonly type: 'verdict'; readonly verdict: UnansweredVerdict; readonly cause: UnansweredCause}
-	/** A part was handed on, and the rest will not come. */
+	/** Part of the answer was forwarded, and the remainder is lost. */
 		| {readonly type: 'broken'; readonly reason: string};
 
 /** Why an attempt brought no answer. */
 export type UnansweredCause
-	/** The door has no room now. */
+	/** The endpoint has no spare slots now. */
 	= | 'doorFull'
-	/** The door was reached and said no, so asking it again at once is useless. */
+	/** The request gate was reached and refused, so an immediate retry is useless. */
 		| 'refused'
 		| 'lost'
-	/** Nobody wants the answer any more. */
+	/** The answer is no longer needed. */
 		| 'givenUp';
 
 export type AttemptOptions = {
-	/** Connections lost in a row, without a byte, before the attempt ends. @default 4 */
+	/** Consecutive connection losses without a received byte that the attempt tolerates. @default 4 */
 	readonly maxLosses?: number;
 };
 
 export const createAttempt = ({maxLosses = 4}: AttemptOptions = {}): AttemptState => ({
-	phase: 'sending', isPassedOn: false, offset: 0, losses: 0, givenUp: null, maxLosses,
+	phase: 'sending', isHeadForwarded: false, offset: 0, losses: 0, givenUp: null, maxLosses,
 });
 
 export const firstEffect: AttemptEffect = {type: 'send'};
@@ -74,10 +74,10 @@
 export const stepAttempt = (state: AttemptState, event: AttemptEvent): AttemptEffect => match(event)
 	.returnType<AttemptEffect>()
 	.with({type: 'refused'}, ({verdict, isFull}) => finish(state, verdict, isFull ? 'doorFull' : 'refused'))
-	.with({type: 'head', isOwn: true}, () => takeHead(state))
-	// An answer to someone else: late on a connection used before, or crossed.
-	// Nothing on this connection can be trusted; the door is asked on another.
-	.with({type: 'head', isOwn: false}, () => lose(state, 'another request\'s answer came'))
+	.with({type: 'head', isOwn: true}, () => handleHead(state))
+	// The answer belongs to another request: either late on a reused connection or
+	// crossed. Nothing on this connection can be trusted, so the gate is queried on a new one.
+	.with({type: 'head', isOwn: false}, () => handleLostConnection(state, 'received the answer to another request'))
 	.with({type: 'part'}, ({sizeBytes}) => {
 		state.offset += sizeBytes;
 		state.losses = 0;
@@ -87,36 +87,36 @@
 		state.phase = 'ended';
 		return {type: 'finish', end: {type: 'whole'}};
 	})
-	.with({type: 'end', isWhole: false}, () => finish(state, mayHaveRun('the answer was not whole'), 'lost'))
+	.with({type: 'end', isWhole: false}, () => finish(state, mayHaveRun('the answer was incomplete'), 'lost'))
 	.with({type: 'connectionLost', isUnsent: true}, ({reason}) => state.phase === 'sending'
-		? finish(state, notRun(`the host cannot be reached: ${reason}`), 'lost')
-		: lose(state, reason))
-	.with({type: 'connectionLost', isUnsent: false}, ({reason}) => lose(state, reason))
-	.with({type: 'settled'}, ({result}) => takeSettled(state, result))
-	.with({type: 'settleFailed'}, () => finish(state, mayHaveRun('the host was lost and cannot be asked'), 'lost'))
+		? finish(state, notRun(`could not connect to the host: ${reason}`), 'lost')
+		: handleLostConnection(state, reason))
+	.with({type: 'connectionLost', isUnsent: false}, ({reason}) => handleLostConnection(state, reason))
+	.with({type: 'settled'}, ({result}) => handleSettled(state, result))
+	.with({type: 'settleFailed'}, () => finish(state, mayHaveRun('the connection to the host was lost and the outcome could not be queried'), 'lost'))
 	.with({type: 'gaveUp'}, ({cause}) => {
 		state.givenUp = cause;
 		return settle(state);
 	})
 	.exhaustive();
 
-const takeHead = (state: AttemptState): AttemptEffect => {
+const handleHead = (state: AttemptState): AttemptEffect => {
 	state.phase = 'answering';
-	if (state.isPassedOn) {
+	if (state.isHeadForwarded) {
 		return {type: 'read'};
 	}
 
-	state.isPassedOn = true;
+	state.isHeadForwarded = true;
 	return {type: 'passOn'};
 };
 
-const lose = (state: AttemptState, reason: string): AttemptEffect => {
+const handleLostConnection = (state: AttemptState, reason: string): AttemptEffect => {
 	state.losses++;
 	if (state.losses > state.maxLosses) {
-		return finish(state, mayHaveRun(`connections to the host are lost again and again: ${reason}`), 'lost');
+		return finish(state, mayHaveRun(`connections to the host were lost repeatedly: ${reason}`), 'lost');
 	}
 
-	// Once a byte of the answer is here it is known that the request runs.
+	// Once the answer has begun it is certain that the request was started.
 	return state.phase === 'answering' ? resume(state) : settle(state);
 };
 
@@ -130,22 +130,22 @@
 	return {type: 'resume', offset: state.offset};
 };
 
-const takeSettled = (state: AttemptState, result: 'ran' | 'running' | 'notRun' | 'unknown'): AttemptEffect => match(result)
-	.with('notRun', () => finish(state, notRun(state.givenUp === null ? 'the connection to the host was lost before the request started' : reasonOf(state.givenUp)), 'lost'))
-	.with('unknown', () => finish(state, mayHaveRun('the host was restarted, or has forgotten the request'), 'lost'))
-	.with(P.union('ran', 'running'), () => state.givenUp === null ? resume(state) : finish(state, mayHaveRun(reasonOf(state.givenUp)), 'lost'))
+const handleSettled = (state: AttemptState, result: 'ran' | 'running' | 'notRun' | 'unknown'): AttemptEffect => match(result)
+	.with('notRun', () => finish(state, notRun(state.givenUp === null ? 'the connection to the host was lost before the request started' : giveUpReason(state.givenUp)), 'lost'))
+	.with('unknown', () => finish(state, mayHaveRun('the host was restarted or no longer has a record of the request'), 'lost'))
+	.with(P.union('ran', 'running'), () => state.givenUp === null ? resume(state) : finish(state, mayHaveRun(giveUpReason(state.givenUp)), 'lost'))
 	.exhaustive();
 
-const reasonOf = (cause: GiveUpCause): string => match(cause)
+const giveUpReason = (cause: GiveUpCause): string => match(cause)
 	.with('deadline', () => 'the deadline passed')
 	.with('callerGone', () => 'the caller hung up')
-	.with('quarantined', () => 'endpoints end under this request')
+	.with('quarantined', () => 'endpoints crash on this request')
 	.exhaustive();
 
 const finish = (state: AttemptState, verdict: UnansweredVerdict, cause: UnansweredCause): AttemptEffect => {
 	state.phase = 'ended';
 	return {
 		type: 'finish',
-		end: state.isPassedOn ? {type: 'broken', reason: verdict.reason} : {type: 'verdict', verdict, cause: state.givenUp === null ? cause : 'givenUp'},
+		end: state.isHeadForwarded ? {type: 'broken', reason: verdict.reason} : {type: 'verdict', verdict, cause: state.givenUp === null ? cause : 'givenUp'},
 	};
 };
--- a/packages/coordination/src/requests/claimed-call.ts
+++ b/packages/coordination/src/requests/claimed-call.ts
@@ -4,37 +4,37 @@
 import {match} from 'ts-pattern';
 
 /**
- * A call that may not be repeated, as the entry sees it: first the claim in the
- * replicated log, then the attempts, then the outcome. Each effect is carried
- * out once and brings exactly one event, until `finish`; `attempt` brings a
+ * State machine of a non-repeatable call, on the entry's side: first the claim in
+ * the replicated log, then the attempts, then the outcome. Each effect is carried
+ * out once and produces exactly one event, until `finish`; `attempt` produces
  * `placed` before each dispatch and `attempted` at its end.
  */
 export type ClaimedCallState = {
 	readonly options: Required<ClaimedCallOptions>;
 	round: number;
-	/** The key is this request's. */
+	/** This request holds the claim on the key. */
 	isClaimed: boolean;
 	/** Why an attempt was not allowed. */
 	refusal: string | null;
-	/** The claim that was in the way. */
+	/** The existing claim that blocked this call. */
 	held: HeldClaim | null;
-	/** What the call ends with if no earlier one is found; there was no endpoint to claim for. */
-	unplaced: UnansweredVerdict | null;
-	/** What follows the conclusion that is being written. */
+	/** Result if no earlier call with this key is found; set when there was no endpoint to claim for. */
+	noEndpointVerdict: UnansweredVerdict | null;
+	/** Effect that follows the conclusion being written. */
 	next: ClaimedCallEffect | null;
 };
 
 export type ClaimedCallOptions = {
 	readonly requestId: string;
-	/** Claims that are tried for: one that was barred is free again, but another resend may be faster. @default 3 */
+	/** Maximum number of claim rounds: a barred claim frees the key, but another caller retry may claim it first. @default 3 */
 	readonly maxRounds?: number;
-	/** Larger answers are passed on but not kept for resends. @default 65536 */
-	readonly keptAnswerBytes?: number;
+	/** Larger answers are forwarded but not stored for caller retries. @default 65536 */
+	readonly maxRetainedAnswerBytes?: number;
 };
 
 export type HeldClaim = Extract<CommandResult, {type: 'claimHeld'}>;
 
-/** An answer as the log keeps it. */
+/** An answer as stored in the replicated log. */
 export type ClaimAnswer = {
 	readonly status: number;
 	readonly contentType: string;
@@ -43,29 +43,29 @@
 	readonly sizeBytes: number;
 };
 
-/** What became of a claimed call whose entry does not say. */
+/** Outcome of a claimed call, as queried from its endpoint's request gate because its entry did not report one. */
 export type FoundOutcome
 	= | {readonly type: 'notRun'}
 		| {readonly type: 'running'}
 		| {readonly type: 'ran'; readonly answer: ClaimAnswer}
-	/** `isForGood`: the agent that knew is gone and will not come back. */
+	/** `isForGood`: the agent that had the record is permanently gone. */
 		| {readonly type: 'lost'; readonly isForGood: boolean};
 
 export type ClaimedCallEvent
-	/** An attempt is about to go there. */
+	/** An attempt is about to be sent to this endpoint. */
 	= | {readonly type: 'placed'; readonly place: ClaimPlace}
 		| {readonly type: 'proposed'; readonly result: CommandResult}
-	/** It may have been written or not. */
+	/** The proposal may or may not have been written. */
 		| {readonly type: 'proposalFailed'; readonly reason: string}
 		| {readonly type: 'attempted'; readonly end: AttemptedEnd}
 		| {readonly type: 'found'; readonly found: FoundOutcome}
-	/** Written, or given up on. */
+	/** The conclusion was written, or writing it was abandoned. */
 		| {readonly type: 'concluded'};
 
 export type AttemptedEnd
-	/** `answer` is `null` if it was not whole. */
+	/** `answer` is `null` if it was incomplete. */
 	= | {readonly type: 'answered'; readonly place: ClaimPlace; readonly answer: ClaimAnswer | null}
-	/** `place` is `null` if no attempt went anywhere. */
+	/** `place` is `null` if no attempt was sent. */
 		| {readonly type: 'verdict'; readonly place: ClaimPlace | null; readonly verdict: UnansweredVerdict}
 		| {readonly type: 'stopped'};
 
@@ -73,47 +73,47 @@
 	= | {readonly type: 'attempt'}
 		| {readonly type: 'claim'; readonly place: ClaimPlace | null}
 		| {readonly type: 'move'; readonly place: ClaimPlace}
-	/** The attempt that is placed may begin, or may not. */
+	/** Allow (`dispatch`) or cancel (`stop`) the placed attempt. */
 		| {readonly type: 'dispatch'}
 		| {readonly type: 'stop'}
-	/** Ask the door that the held claim went to; bar the call there if it has not started. */
+	/** Query the request gate to which the held claim's attempt was sent; bar the attempt there if it has not started. */
 		| {readonly type: 'settle'; readonly place: ClaimPlace | null; readonly requestId: string}
 		| {readonly type: 'conclude'; readonly requestId: string; readonly attemptId: string | null; readonly outcome: ClaimOutcome | {readonly type: 'notRun'}}
 		| {readonly type: 'finish'; readonly reply: ClaimedCallReply};
 
 export type ClaimedCallReply
 	= | {readonly type: 'verdict'; readonly verdict: UnansweredVerdict}
-	/** The answer of this call's own attempt. */
+	/** The answer from this call's own attempt. */
 		| {readonly type: 'answer'}
-	/** What is known of the call that has the key. */
+	/** State of the call that holds the key. */
 		| {readonly type: 'held'; readonly state: ClaimState | {readonly type: 'differentBody'}};
 
-export const createClaimedCall = ({maxRounds = 3, keptAnswerBytes = 65_536, ...options}: ClaimedCallOptions): ClaimedCallState => ({
-	options: {maxRounds, keptAnswerBytes, ...options}, round: 1, isClaimed: false, refusal: null, held: null, unplaced: null, next: null,
+export const createClaimedCall = ({maxRounds = 3, maxRetainedAnswerBytes = 65_536, ...options}: ClaimedCallOptions): ClaimedCallState => ({
+	options: {maxRounds, maxRetainedAnswerBytes, ...options}, round: 1, isClaimed: false, refusal: null, held: null, noEndpointVerdict: null, next: null,
 });
 
 export const firstClaimedCallEffect: ClaimedCallEffect = {type: 'attempt'};
 
 export const stepClaimedCall = (state: ClaimedCallState, event: ClaimedCallEvent): ClaimedCallEffect => match(event)
 	.returnType<ClaimedCallEffect>()
-	// A retry elsewhere is written down before it is sent: a resend would ask
-	// the wrong door, learn "not run" there, and run the call a second time.
+	// A retry at another endpoint is recorded in the log before it is sent. Otherwise a
+	// caller retry would query the previous endpoint's gate, get "not run" and run the call a second time.
 	.with({type: 'placed'}, ({place}) => ({type: state.isClaimed ? 'move' : 'claim', place}))
-	.with({type: 'proposed'}, ({result}) => state.unplaced === null ? takeClaim(state, result) : takeEarlier(state, result))
+	.with({type: 'proposed'}, ({result}) => state.noEndpointVerdict === null ? handleClaimResult(state, result) : handleEarlierClaim(state, result))
 	.with({type: 'proposalFailed'}, ({reason}) => {
-		if (state.unplaced !== null) {
-			return endUnplaced(state, state.unplaced);
+		if (state.noEndpointVerdict !== null) {
+			return concludeWithoutEndpoint(state, state.noEndpointVerdict);
 		}
 
 		state.refusal = `the call could not be claimed: ${reason}`;
 		return {type: 'stop'};
 	})
-	.with({type: 'attempted'}, ({end}) => takeEnd(state, end))
-	.with({type: 'found'}, ({found}) => takeFound(state, state.held!, found))
+	.with({type: 'attempted'}, ({end}) => handleAttemptedEnd(state, end))
+	.with({type: 'found'}, ({found}) => handleFound(state, state.held!, found))
 	.with({type: 'concluded'}, () => state.next!)
 	.exhaustive();
 
-const takeClaim = (state: ClaimedCallState, result: CommandResult): ClaimedCallEffect => {
+const handleClaimResult = (state: ClaimedCallState, result: CommandResult): ClaimedCallEffect => {
 	if (result.type === 'claimHeld') {
 		state.held = result;
 		return {type: 'stop'};
@@ -128,21 +128,21 @@
 	return {type: 'dispatch'};
 };
 
-const takeEnd = (state: ClaimedCallState, end: AttemptedEnd): ClaimedCallEffect => match(end)
+const handleAttemptedEnd = (state: ClaimedCallState, end: AttemptedEnd): ClaimedCallEffect => match(end)
 	.returnType<ClaimedCallEffect>()
 	.with({type: 'stopped'}, () => state.held === null
 		? finishWith(notRun(state.refusal ?? 'the call could not be claimed'))
-		: serveHeld(state.held))
+		: handleHeldClaim(state.held))
 	.with({type: 'verdict', place: null}, ({verdict}) => {
 		// No endpoint is ready, but an earlier call with this key may have an outcome.
-		state.unplaced = verdict;
+		state.noEndpointVerdict = verdict;
 		return {type: 'claim', place: null};
 	})
 	.with({type: 'verdict'}, ({verdict, place}) => verdict.type === 'notRun'
 		? conclude(state, {requestId: state.options.requestId, attemptId: place!.attemptId, outcome: {type: 'notRun'}}, finishWith(verdict))
-		// The claim stays in progress: a resend asks the door, which may know more by then.
+		// The claim stays in progress: a caller retry queries the request gate, which may have an outcome by then.
 		: finishWith(verdict))
-	.with({type: 'answered', answer: null}, () => finishWith(mayHaveRun('the answer was not whole')))
+	.with({type: 'answered', answer: null}, () => finishWith(mayHaveRun('the answer was incomplete')))
 	.with({type: 'answered'}, ({answer, place}) => conclude(
 		state,
 		{requestId: state.options.requestId, attemptId: place.attemptId, outcome: outcomeOf(state, answer!)},
@@ -150,31 +150,31 @@
 	))
 	.exhaustive();
 
-const takeEarlier = (state: ClaimedCallState, result: CommandResult): ClaimedCallEffect => {
+const handleEarlierClaim = (state: ClaimedCallState, result: CommandResult): ClaimedCallEffect => {
 	if (result.type === 'claimHeld') {
 		state.held = result;
-		return serveHeld(result);
+		return handleHeldClaim(result);
 	}
 
-	return endUnplaced(state, state.unplaced!);
+	return concludeWithoutEndpoint(state, state.noEndpointVerdict!);
 };
 
-const endUnplaced = (state: ClaimedCallState, verdict: UnansweredVerdict): ClaimedCallEffect => conclude(
+const concludeWithoutEndpoint = (state: ClaimedCallState, verdict: UnansweredVerdict): ClaimedCallEffect => conclude(
 	state,
 	{requestId: state.options.requestId, attemptId: null, outcome: {type: 'notRun'}},
 	finishWith(verdict),
 );
 
-/** Another request holds the key. If it is still in progress its entry may be dead, so the door that it went to is asked. */
-const serveHeld = ({state, place, requestId}: HeldClaim): ClaimedCallEffect => state.type === 'inProgress'
+/** Another request holds the key. If it is still in progress, its entry may be dead, so the request gate it was sent to is queried. */
+const handleHeldClaim = ({state, place, requestId}: HeldClaim): ClaimedCallEffect => state.type === 'inProgress'
 	? {type: 'settle', place, requestId}
 	: finishHeld(state);
 
-const takeFound = (state: ClaimedCallState, {requestId, place}: HeldClaim, found: FoundOutcome): ClaimedCallEffect => {
+const handleFound = (state: ClaimedCallState, {requestId, place}: HeldClaim, found: FoundOutcome): ClaimedCallEffect => {
 	const attemptId = place?.attemptId ?? null;
 	return match(found)
 		.returnType<ClaimedCallEffect>()
-		// It provably never ran: the key is free, and this call may take it.
+		// The other call provably never ran: the key becomes free, and this call may claim it.
 		.with({type: 'notRun'}, () => conclude(state, {requestId, attemptId, outcome: {type: 'notRun'}}, nextRound(state)))
 		.with({type: 'running'}, () => finishHeld({type: 'inProgress'}))
 		.with({type: 'ran'}, ({answer}) => {
@@ -193,16 +193,16 @@
 	state.isClaimed = false;
 	state.refusal = null;
 	state.held = null;
-	state.unplaced = null;
+	state.noEndpointVerdict = null;
 	return state.round > state.options.maxRounds ? finishHeld({type: 'inProgress'}) : {type: 'attempt'};
 };
 
 type Conclusion = Omit<Extract<ClaimedCallEffect, {type: 'conclude'}>, 'type'>;
 
 /**
- * Writes the outcome down, then goes on. If control cannot be reached the claim
- * stays as it is: a resend finds the outcome at the endpoint's door, so the
- * caller is told the truth either way.
+ * Records the outcome, then continues. If control is unreachable the claim stays as
+ * it is: a caller retry gets the outcome from the endpoint's request gate, so the
+ * caller receives the correct outcome in both cases.
  */
 const conclude = (state: ClaimedCallState, conclusion: Conclusion, next: ClaimedCallEffect): ClaimedCallEffect => {
 	state.next = next;
@@ -210,7 +210,7 @@
 };
 
 const outcomeOf = ({options}: ClaimedCallState, {status, contentType, body, sizeBytes}: ClaimAnswer): ClaimOutcome => ({
-	type: 'ran', status, contentType, body: sizeBytes > options.keptAnswerBytes ? null : body,
+	type: 'ran', status, contentType, body: sizeBytes > options.maxRetainedAnswerBytes ? null : body,
 });
 
 const finishWith = (verdict: UnansweredVerdict): ClaimedCallEffect => ({type: 'finish', reply: {type: 'verdict', verdict}});
--- a/packages/coordination/src/requests/event-gate.ts
+++ b/packages/coordination/src/requests/event-gate.ts
@@ -1,22 +1,22 @@
 import {Buffer} from 'node:buffer';
 
 /**
- * Lets whole server-sent events pass and holds back the last one until the
- * answer is known to be whole. Callers stop reading at `[DONE]`: if it passed
- * before the end marker was checked, a broken answer would look whole to them.
+ * Forwards complete server-sent events and withholds `[DONE]` until the answer is
+ * confirmed to be complete. Callers stop reading at `[DONE]`: if it were forwarded
+ * before the end marker was checked, a truncated answer would look complete to them.
  */
 export type EventGate = {held: Buffer; isDone: boolean};
 
-const doneText = 'data: [DONE]';
-/** An event longer than this is passed on in pieces. */
-const heldLimitBytes = 65_536;
+const doneEventPrefix = 'data: [DONE]';
+/** A longer event is forwarded in pieces. */
+const maxHeldEventBytes = 65_536;
 
 export const createEventGate = (): EventGate => ({held: Buffer.alloc(0), isDone: false});
 
-/** Takes what has come and gives what may pass. */
+/** Adds received bytes to the buffer and returns those that may be forwarded. */
 export const passEvents = (gate: EventGate, part: Buffer): Buffer => {
 	const all = gate.held.length === 0 ? part : Buffer.concat([gate.held, part]);
-	const doneAt = gate.isDone ? 0 : all.indexOf(doneText);
+	const doneAt = gate.isDone ? 0 : all.indexOf(doneEventPrefix);
 	if (doneAt !== -1) {
 		gate.isDone = true;
 		gate.held = all.subarray(doneAt);
@@ -24,7 +24,7 @@
 	}
 
 	const boundary = Math.max(endOf(all, '\n\n'), endOf(all, '\n\r\n'));
-	const passed = all.length - boundary > heldLimitBytes ? all.length : boundary;
+	const passed = all.length - boundary > maxHeldEventBytes ? all.length : boundary;
 	gate.held = all.subarray(passed);
 	return all.subarray(0, passed);
 };
--- a/packages/coordination/src/requests/retry.ts
+++ b/packages/coordination/src/requests/retry.ts
@@ -6,31 +6,31 @@
 import type {UnansweredCause} from './attempt.js';
 
 /**
- * One call's attempts at endpoints, as the entry sees them. Each effect is
- * carried out once and brings exactly one event, until `finish`.
+ * State machine of one call's attempts at endpoints, on the entry's side. Each
+ * effect is carried out once and produces exactly one event, until `finish`.
  */
 export type RetryState = {
 	readonly options: Required<RetryOptions>;
-	/** Hosts that an attempt was spent on. */
+	/** Hosts that used up an attempt. */
 	readonly tried: Set<string>;
 	hostId: string | null;
-	/** Of the attempt that is being made; none is used twice. */
+	/** Number of the current attempt; never reused. */
 	number: number;
-	/** Attempts spent; one at a full door is not. */
+	/** Used attempts; one that is refused because the endpoint is full does not count. */
 	attempts: number;
-	/** Taken from the budget and not spent yet. */
-	holdsRetry: boolean;
-	/** The last endpoint was lost rather than refusing, so it may be asked again when there is no other. */
-	mayReturn: boolean;
-	isReturning: boolean;
-	/** The proof that nothing has run so far. */
-	last: NotRun;
+	/** A retry was taken from the budget and not sent yet. */
+	hasReservedRetry: boolean;
+	/** The connection to the last endpoint was lost rather than refused, so tried hosts may be retried if there is no other. */
+	canRetryTriedHosts: boolean;
+	isRetryingTriedHosts: boolean;
+	/** The last attempt's proof that the call has not run so far. */
+	lastNotRun: NotRun;
 };
 
 export type RetryOptions = {
-	/** Shared by all calls of the entry. */
+	/** Retry budget shared by all calls of the entry. */
 	readonly budget: RetryBudget;
-	/** On the clock of `nowMs`; no attempt begins then or later. */
+	/** On the same clock as `nowMs`; no attempt starts at or after this time. */
 	readonly deadlineAtMs: number;
 	/** @default 3 */
 	readonly maxAttempts?: number;
@@ -38,9 +38,9 @@
 
 export type RetryEvent
 	= | {readonly type: 'chosen'; readonly hostId: string}
-	/** Nothing that is not in `tried` serves the target. */
+	/** No endpoint outside `tried` serves the target. */
 		| {readonly type: 'noEndpoint'}
-	/** The call waited in the queue, and its turn will not come. */
+	/** The call was refused while it waited in the queue. */
 		| {readonly type: 'turnRefused'; readonly verdict: NotRun}
 		| {readonly type: 'claimed'}
 		| {readonly type: 'claimRefused'}
@@ -50,9 +50,9 @@
 export type RetryEffect
 	/** Choose an endpoint, and wait in the queue while all are full. */
 	= | {readonly type: 'choose'; readonly tried: ReadonlySet<string>}
-	/** Back to the call's place in the queue, then as `choose`. */
+	/** Return the call to its former queue position, then proceed as for `choose`. */
 		| {readonly type: 'requeue'; readonly tried: ReadonlySet<string>}
-	/** Write down where the call goes, if it may not be repeated. */
+	/** Record the destination in the replicated log if the call is not repeatable. */
 		| {readonly type: 'claim'; readonly number: number}
 		| {readonly type: 'dispatch'; readonly number: number}
 		| {readonly type: 'finish'; readonly end: RetryEnd};
@@ -60,20 +60,20 @@
 export type RetryEnd
 	= | {readonly type: 'answered'}
 		| {readonly type: 'verdict'; readonly verdict: UnansweredVerdict}
-	/** The claim was refused; whoever refused it knows why. */
+	/** The claim was refused; the component that refused it has the reason. */
 		| {readonly type: 'stopped'};
 
-const nothingTried: ReadonlySet<string> = new Set();
+const noTriedHosts: ReadonlySet<string> = new Set();
 
 export const createRetry = ({maxAttempts = 3, ...options}: RetryOptions): RetryState => ({
-	options: {maxAttempts, ...options}, tried: new Set(), hostId: null, number: 0, attempts: 0, holdsRetry: false, mayReturn: false, isReturning: false,
-	last: notRun('no endpoint is ready'),
+	options: {maxAttempts, ...options}, tried: new Set(), hostId: null, number: 0, attempts: 0, hasReservedRetry: false, canRetryTriedHosts: false, isRetryingTriedHosts: false,
+	lastNotRun: notRun('no endpoint is ready'),
 });
 
-/** The call's first effect; counts the call as a fresh one. */
+/** Returns the call's first effect and records the first attempt in the budget. */
 export const beginRetry = ({options: {budget}}: RetryState): RetryEffect => {
 	noteFreshRequest(budget);
-	return {type: 'choose', tried: nothingTried};
+	return {type: 'choose', tried: noTriedHosts};
 };
 
 export const stepRetry = (state: RetryState, event: RetryEvent, nowMs: number): RetryEffect => match(event)
@@ -81,24 +81,24 @@
 	.with({type: 'chosen'}, ({hostId}) => {
 		state.hostId = hostId;
 		state.number++;
-		return beforeDeadline(state, nowMs) ?? {type: 'claim', number: state.number};
+		return finishIfPastDeadline(state, nowMs) ?? {type: 'claim', number: state.number};
 	})
 	.with({type: 'noEndpoint'}, () => {
-		if (!state.mayReturn || state.isReturning) {
-			return giveUp(state, state.last);
+		if (!state.canRetryTriedHosts || state.isRetryingTriedHosts) {
+			return giveUp(state, state.lastNotRun);
 		}
 
-		state.isReturning = true;
-		return {type: 'choose', tried: nothingTried};
+		state.isRetryingTriedHosts = true;
+		return {type: 'choose', tried: noTriedHosts};
 	})
 	.with({type: 'turnRefused'}, ({verdict}) => giveUp(state, verdict))
-	// A claim takes a write to the log, which may outlast the deadline.
-	.with({type: 'claimed'}, () => beforeDeadline(state, nowMs) ?? dispatch(state))
+	// A claim requires a log write, during which the deadline may pass.
+	.with({type: 'claimed'}, () => finishIfPastDeadline(state, nowMs) ?? dispatch(state))
 	.with({type: 'claimRefused'}, () => finish(state, {type: 'stopped'}))
 	.with({type: 'answered'}, () => finish(state, {type: 'answered'}))
 	.with({type: 'unanswered', verdict: {type: 'mayHaveRun'}}, ({verdict}) => finish(state, {type: 'verdict', verdict}))
 	.with({type: 'unanswered', verdict: {type: 'notRun'}}, ({cause, verdict}) => {
-		state.last = verdict;
+		state.lastNotRun = verdict;
 		return afterNotRun(state, cause, nowMs);
 	})
 	.exhaustive();
@@ -107,58 +107,58 @@
 	.with('doorFull', () => requeue(state, nowMs))
 	.with(P.union('refused', 'lost'), () => {
 		state.tried.add(state.hostId!);
-		state.mayReturn = cause === 'lost';
+		state.canRetryTriedHosts = cause === 'lost';
 		return retry(state, nowMs);
 	})
-	.with('givenUp', () => giveUp(state, state.last))
+	.with('givenUp', () => giveUp(state, state.lastNotRun))
 	.exhaustive();
 
 /**
- * The door had no room: another entry was faster. That is no fault, and three
- * of them in a row would end a call whose target is merely busy. So it costs
- * no attempt, but the call goes back to the queue instead of to the next
- * endpoint: the queue holds it until an endpoint is heard to have room, so full
- * doors are not asked in a loop.
+ * The endpoint had no spare slots because another entry was faster. This is not a
+ * failure, and three in a row would end a call whose target is merely busy, so it
+ * does not use up an attempt. The call returns to the queue instead of trying the
+ * next endpoint: the queue holds it until an endpoint reports a spare slot, so
+ * full endpoints are not tried in a loop.
  */
 const requeue = (state: RetryState, nowMs: number): RetryEffect => {
 	state.attempts--;
-	state.holdsRetry = state.attempts > 0;
-	state.isReturning = false;
-	return beforeDeadline(state, nowMs) ?? {type: 'requeue', tried: state.tried};
+	state.hasReservedRetry = state.attempts > 0;
+	state.isRetryingTriedHosts = false;
+	return finishIfPastDeadline(state, nowMs) ?? {type: 'requeue', tried: state.tried};
 };
 
 const retry = (state: RetryState, nowMs: number): RetryEffect => {
 	const {budget, maxAttempts} = state.options;
-	const late = beforeDeadline(state, nowMs);
-	if (late !== null || state.attempts >= maxAttempts) {
-		return late ?? giveUp(state, state.last);
+	const deadlineEffect = finishIfPastDeadline(state, nowMs);
+	if (deadlineEffect !== null || state.attempts >= maxAttempts) {
+		return deadlineEffect ?? giveUp(state, state.lastNotRun);
 	}
 
 	if (!takeRetry(budget, nowMs)) {
-		return giveUp(state, notRun(`${state.last.reason}; too many requests are being retried`, msUntilRetry(budget)));
+		return giveUp(state, notRun(`${state.lastNotRun.reason}; too many requests are being retried`, msUntilRetry(budget)));
 	}
 
-	state.holdsRetry = true;
-	state.isReturning = false;
+	state.hasReservedRetry = true;
+	state.isRetryingTriedHosts = false;
 	return {type: 'choose', tried: state.tried};
 };
 
 const dispatch = (state: RetryState): RetryEffect => {
 	state.attempts++;
-	state.holdsRetry = false;
+	state.hasReservedRetry = false;
 	return {type: 'dispatch', number: state.number};
 };
 
-/** `null` while there is time; ends the call otherwise. */
-const beforeDeadline = (state: RetryState, nowMs: number): RetryEffect | null => nowMs < state.options.deadlineAtMs
+/** Ends the call if its deadline has passed; `null` otherwise. */
+const finishIfPastDeadline = (state: RetryState, nowMs: number): RetryEffect | null => nowMs < state.options.deadlineAtMs
 	? null
 	: giveUp(state, notRun('the deadline passed'));
 
 const giveUp = (state: RetryState, verdict: NotRun): RetryEffect => finish(state, {type: 'verdict', verdict});
 
 const finish = (state: RetryState, end: RetryEnd): RetryEffect => {
-	if (state.holdsRetry) {
-		state.holdsRetry = false;
+	if (state.hasReservedRetry) {
+		state.hasReservedRetry = false;
 		returnRetry(state.options.budget);
 	}
 
--- a/packages/coordination/test/claimed-call.test.ts
+++ b/packages/coordination/test/claimed-call.test.ts
@@ -20,7 +20,7 @@
 const placed = (attemptId: string): ClaimedCallEvent => ({type: 'placed', place: placeAt(attemptId)});
 const claimed: ClaimedCallEvent = {type: 'proposed', result: {type: 'claimed'}};
 const ended = (end: AttemptedEnd): ClaimedCallEvent => ({type: 'attempted', end});
-const begin = (): ClaimedCallState => createClaimedCall({requestId: 'own', keptAnswerBytes: 10});
+const begin = (): ClaimedCallState => createClaimedCall({requestId: 'own', maxRetainedAnswerBytes: 10});
 const last = (state: ClaimedCallState, events: readonly ClaimedCallEvent[]): ClaimedCallEffect => events.map(event => stepClaimedCall(state, event)).at(-1)!;
 
 t.test('a call is claimed, sent, and its outcome written down before it is answered', async t => {
