--- a/packages/coordination/src/utils/clock.ts
+++ b/packages/coordination/src/utils/clock.ts
@@ -1,28 +1,28 @@
 export type Clock = {
-	/** Milliseconds since an arbitrary moment; never goes back. */
+	/** Milliseconds since an arbitrary point in time; never decreases. */
 	nowMs(): number;
 };
 
 export type SuspendAwareClockOptions = {
-	/** The steady clock, which may stand still while the machine is suspended. */
+	/** Monotonic clock, which may stop while the machine is suspended. */
 	steadyNowMs(): number;
-	/** The time of day, which may be set. */
+	/** Wall clock, which may be adjusted. */
 	wallNowMs(): number;
-	/** A smaller lead of the time of day over the steady clock is drift or rounding. @default 250 */
+	/** A smaller lead of the wall clock over the monotonic clock counts as drift or rounding. @default 250 */
 	readonly toleranceMs?: number;
 };
 
 /**
- * A clock for leases. While a machine is suspended its steady clock stands
- * still, so a lease that ran out meanwhile would look valid on waking, and a
- * key that was revoked would be served. The time of day goes on: a lead of it
- * over the steady clock counts as time that has passed. A mere step of the time
- * of day ends leases early, which costs one renewal and breaks nothing.
+ * A clock for leases. While a machine is suspended its monotonic clock stops, so a
+ * lease that expired in the meantime would look valid on resume, and requests with
+ * a revoked key would be served. The wall clock continues: its lead over the
+ * monotonic clock counts as elapsed time. A forward step of the wall clock expires
+ * leases early, which costs one renewal and is otherwise harmless.
  */
 export const createSuspendAwareClock = ({steadyNowMs, wallNowMs, toleranceMs = 250}: SuspendAwareClockOptions): Clock => {
 	let steadyMs = steadyNowMs();
 	let wallMs = wallNowMs();
-	let addedMs = 0;
+	let suspendedMs = 0;
 	return {
 		nowMs() {
 			const steady = steadyNowMs();
@@ -31,10 +31,10 @@
 			steadyMs = steady;
 			wallMs = wall;
 			if (leadMs > toleranceMs) {
-				addedMs += leadMs;
+				suspendedMs += leadMs;
 			}
 
-			return steady + addedMs;
+			return steady + suspendedMs;
 		},
 	};
 };
--- a/packages/coordination/src/utils/group-by.ts
+++ b/packages/coordination/src/utils/group-by.ts
@@ -1,4 +1,4 @@
-/** Items by key, in order of first appearance. Node 20 has no `Map.groupBy` yet. */
+/** Groups items by key, in order of first appearance. Node.js 20 has no `Map.groupBy`. */
 export const groupBy = <Key, Item>(items: Iterable<Item>, keyOf: (item: Item) => Key): Map<Key, Item[]> => {
 	const groups = new Map<Key, Item[]>();
 	for (const item of items) {
--- a/packages/coordination/src/utils/random.ts
+++ b/packages/coordination/src/utils/random.ts
@@ -1,9 +1,9 @@
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xorshift128plus} from 'pure-rand/generator/xorshift128plus';
 
-/** A seeded source of random numbers, so that a recorded trace replays exactly. */
+/** Seeded random number generator, so that a recorded trace can be replayed exactly. */
 export type Random = {
-	/** A whole number from `min` to `max`, both included. */
+	/** Random integer from `min` to `max`, both inclusive. */
 	between(min: number, max: number): number;
 };
 
@@ -12,7 +12,7 @@
 	return {between: (min, max) => uniformInt(generator, min, max)};
 };
 
-const shareSteps = 1_000_000;
+const fractionSteps = 1_000_000;
 
-/** A number from 0 up to, but not including, 1. */
-export const drawShare = (random: Random): number => random.between(0, shareSteps - 1) / shareSteps;
+/** Random number from 0 (inclusive) to 1 (exclusive). */
+export const drawShare = (random: Random): number => random.between(0, fractionSteps - 1) / fractionSteps;
