--- a/packages/coordination/src/routing/hash-ring.ts
+++ b/packages/coordination/src/routing/hash-ring.ts
@@ -4,10 +4,10 @@
 
 /**
  * A consistent-hash ring. Changes are collected and merged in one pass at the
- * next look-up, so that a burst of joins costs one pass, not one for each.
+ * next lookup, so that a burst of joins costs one pass instead of one per join.
  */
 export type HashRing<Member extends RingMember> = {
-	/** Points in rising order; plain numbers, so that a search touches few cache lines. */
+	/** Points in ascending order; plain numbers, so that a search touches few cache lines. */
 	hashes: Uint32Array;
 	/** The member of each point. */
 	owners: Member[];
@@ -15,7 +15,7 @@
 	readonly removed: Set<Member>;
 };
 
-/** More points spread the keys more evenly: with 16 the heaviest member has about 1.6 times the mean. */
+/** More points distribute the keys more evenly; with 16, the most loaded member has about 1.6 times the mean. */
 const pointsPerMember = 16;
 
 export const createHashRing = <Member extends RingMember>(): HashRing<Member> => ({
@@ -48,12 +48,12 @@
 };
 
 const merge = <Member extends RingMember>(ring: HashRing<Member>): void => {
-	const fresh = pointsOf(ring.added);
+	const addedPoints = pointsOf(ring.added);
 	const hashes: number[] = [];
 	const owners: Member[] = [];
 	let next = 0;
-	const takeFreshBelow = (limit: number): void => {
-		for (let point = fresh[next]; point !== undefined && point.hash < limit; point = fresh[++next]) {
+	const mergeAddedBelow = (limit: number): void => {
+		for (let point = addedPoints[next]; point !== undefined && point.hash < limit; point = addedPoints[++next]) {
 			hashes.push(point.hash);
 			owners.push(point.member);
 		}
@@ -62,21 +62,21 @@
 	for (const [index, owner] of ring.owners.entries()) {
 		if (!ring.removed.has(owner)) {
 			const hash = ring.hashes[index]!;
-			takeFreshBelow(hash);
+			mergeAddedBelow(hash);
 			hashes.push(hash);
 			owners.push(owner);
 		}
 	}
 
-	takeFreshBelow(Number.POSITIVE_INFINITY);
+	mergeAddedBelow(Number.POSITIVE_INFINITY);
 	ring.hashes = Uint32Array.from(hashes);
 	ring.owners = owners;
 	ring.added.clear();
 	ring.removed.clear();
 };
 
-/** The first of at most `tries` owners of the key, in ring order, that `accepts`. */
-export const findOnRing = <Member extends RingMember>(ring: HashRing<Member>, key: string, tries: number, accepts: (member: Member) => boolean): Member | null => {
+/** The first of at most `maxTries` owners of the key, in ring order, that `accepts` approves. */
+export const findOnRing = <Member extends RingMember>(ring: HashRing<Member>, key: string, maxTries: number, accepts: (member: Member) => boolean): Member | null => {
 	if (ring.added.size > 0 || ring.removed.size > 0) {
 		merge(ring);
 	}
@@ -84,7 +84,7 @@
 	const {hashes, owners} = ring;
 	let position = lowerBound(hashes, hashText(key));
 	let previous: Member | null = null;
-	for (let tried = 0, looked = 0; tried < tries && looked < owners.length; looked++) {
+	for (let tried = 0, checked = 0; tried < maxTries && checked < owners.length; checked++) {
 		const member = owners[position % owners.length]!;
 		position++;
 		if (member === previous) {
--- a/packages/coordination/src/routing/health.ts
+++ b/packages/coordination/src/routing/health.ts
@@ -5,7 +5,7 @@
 	EjectionReason, Group, RouterNotice, RouterState,
 } from './types.js';
 
-/** What was known of a host before it restarted says nothing about it now. */
+/** Clears the health record of a restarted host, because earlier outcomes say nothing about it now. */
 export const resetHealth = (host: HostState): void => {
 	host.consecutiveFailures = 0;
 	host.failureShare = 0;
@@ -18,74 +18,74 @@
 	host.ejections = 0;
 };
 
-/** How a request ended at a host. */
+/** Outcome of a request at a host. */
 export type RequestOutcome
-	/** An answer, whatever its status, after `latencyMs` to its first byte. */
+	/** An answer with any status; its first byte came after `latencyMs`. */
 	= | {readonly type: 'answered'; readonly latencyMs: number}
-	/** The host refused for want of room, or because it is leaving: no fault. */
+	/** The host refused because it is full or draining, which is not a failure. */
 		| {readonly type: 'full'}
 		| {readonly type: 'failed'}
-	/** The caller went, which says nothing about the host. */
+	/** The caller disconnected, which says nothing about the host. */
 		| {readonly type: 'cancelled'};
 
-const averageWeight = 0.1;
-const outcomesToJudge = 20;
-const failureShareFloor = 0.3;
-const latencyFactor = 4;
-const latencyFloorMs = 200;
-const penaltyShare = 0.25;
-const longestEjectionMs = 120_000;
-const silentFactor = 6;
-const zoneFailureShare = 0.6;
+const outcomeSampleWeight = 0.1;
+const minOutcomesForEjection = 20;
+const minFailureShare = 0.3;
+const latencyEjectionFactor = 4;
+const minEjectionLatencyMs = 200;
+const penaltyCapacityShare = 0.25;
+const maxEjectionMs = 120_000;
+const silenceLatencyFactor = 6;
+const zoneFailureThreshold = 0.6;
 
-const average = (known: number, seen: number): number => known + (averageWeight * (seen - known));
+const movingAverage = (average: number, sample: number): number => average + (outcomeSampleWeight * (sample - average));
 
-/** Takes the end of a request into the host's, the group's and the zone's record, and ejects the host if that is due. */
-export const noteOutcome = (state: RouterState, host: HostState, outcome: RequestOutcome, nowMs: number): void => {
+/** Adds the outcome of a request to the statistics of the host, its group and its zone, and ejects the host if necessary. */
+export const recordOutcome = (state: RouterState, host: HostState, outcome: RequestOutcome, nowMs: number): void => {
 	match(outcome)
 		.with({type: 'answered'}, ({latencyMs}) => {
-			noteAnswer(state, host, latencyMs, nowMs);
+			recordAnswer(state, host, latencyMs, nowMs);
 		})
 		.with({type: 'failed'}, () => {
-			noteFailure(state, host, nowMs);
+			recordFailure(state, host, nowMs);
 		})
 		.with({type: 'full'}, {type: 'cancelled'}, () => undefined)
 		.exhaustive();
 };
 
-const noteAnswer = (state: RouterState, host: HostState, latencyMs: number, nowMs: number): void => {
+const recordAnswer = (state: RouterState, host: HostState, latencyMs: number, nowMs: number): void => {
 	const group = host.tier?.group;
-	host.latencyMs = host.outcomes === 0 ? latencyMs : average(host.latencyMs, latencyMs);
+	host.latencyMs = host.outcomes === 0 ? latencyMs : movingAverage(host.latencyMs, latencyMs);
 	host.consecutiveFailures = 0;
 	countOutcome(state, host, false);
 	if (group === undefined) {
 		return;
 	}
 
-	group.latencyMs = group.outcomes === 0 ? latencyMs : average(group.latencyMs, latencyMs);
+	group.latencyMs = group.outcomes === 0 ? latencyMs : movingAverage(group.latencyMs, latencyMs);
 	group.outcomes++;
-	const limitMs = Math.max(latencyFloorMs, latencyFactor * group.latencyMs);
-	if (host.outcomes >= outcomesToJudge && host.latencyMs > limitMs) {
+	const limitMs = Math.max(minEjectionLatencyMs, latencyEjectionFactor * group.latencyMs);
+	if (host.outcomes >= minOutcomesForEjection && host.latencyMs > limitMs) {
 		eject(state, host, 'latency', nowMs);
 	}
 };
 
-const noteFailure = (state: RouterState, host: HostState, nowMs: number): void => {
+const recordFailure = (state: RouterState, host: HostState, nowMs: number): void => {
 	const group = host.tier?.group;
 	host.consecutiveFailures++;
-	// A host that fails at once is always idle, and so the least loaded of all.
-	// Its failures count as load for a while, or it would draw every request.
-	host.penalty = penaltyOf(host, nowMs) + Math.max(1, host.capacity * penaltyShare);
+	// A host that fails immediately is always idle and so has the lowest load. Its
+	// failures count as load for a while; otherwise it would attract every request.
+	host.penalty = penaltyOf(host, nowMs) + Math.max(1, host.capacity * penaltyCapacityShare);
 	host.penaltyAtMs = nowMs;
 	countOutcome(state, host, true);
 	if (group === undefined) {
 		return;
 	}
 
-	const needed = isZoneFailing(state, host.endpoint.zoneId) ? 1 : state.options.failuresToEject;
-	if (host.consecutiveFailures >= needed) {
+	const failureThreshold = isZoneFailing(state, host.endpoint.zoneId) ? 1 : state.options.failuresToEject;
+	if (host.consecutiveFailures >= failureThreshold) {
 		eject(state, host, 'failures', nowMs);
-	} else if (host.outcomes >= outcomesToJudge && host.failureShare > Math.max(failureShareFloor, 3 * group.failureShare)) {
+	} else if (host.outcomes >= minOutcomesForEjection && host.failureShare > Math.max(minFailureShare, 3 * group.failureShare)) {
 		eject(state, host, 'failureShare', nowMs);
 	}
 };
@@ -93,24 +93,24 @@
 const countOutcome = (state: RouterState, host: HostState, hasFailed: boolean): void => {
 	const {tier} = host;
 	host.outcomes++;
-	host.failureShare = average(host.failureShare, hasFailed ? 1 : 0);
+	host.failureShare = movingAverage(host.failureShare, hasFailed ? 1 : 0);
 	if (tier !== null) {
-		tier.group.failureShare = average(tier.group.failureShare, hasFailed ? 1 : 0);
+		tier.group.failureShare = movingAverage(tier.group.failureShare, hasFailed ? 1 : 0);
 	}
 
 	const {zoneId} = host.endpoint;
-	state.zoneFailureShares.set(zoneId, average(state.zoneFailureShares.get(zoneId) ?? 0, hasFailed ? 1 : 0));
+	state.zoneFailureShares.set(zoneId, movingAverage(state.zoneFailureShares.get(zoneId) ?? 0, hasFailed ? 1 : 0));
 };
 
 /**
- * When a whole hall fails, waiting for three failures of each host would cost
- * three requests a host. An average over outcomes, not over time: the successes
- * of the second before must not outweigh what is seen now.
+ * When an entire zone fails, waiting for three failures of each host would cost
+ * three requests per host. The average is taken over outcomes rather than over
+ * time, so that successes of the previous second don't outweigh current failures.
  */
-const isZoneFailing = (state: RouterState, zoneId: string): boolean => (state.zoneFailureShares.get(zoneId) ?? 0) >= zoneFailureShare;
+const isZoneFailing = (state: RouterState, zoneId: string): boolean => (state.zoneFailureShares.get(zoneId) ?? 0) >= zoneFailureThreshold;
 
-/** Hosts of a group that may be ejected at once; the only host never is. */
-const mostEjected = ({activeSize}: Group, share: number): number => activeSize < 2 ? 0 : Math.max(1, Math.floor(activeSize * share));
+/** Maximum number of hosts of a group that may be ejected at the same time; a single host is never ejected. */
+const maxEjected = ({activeSize}: Group, share: number): number => activeSize < 2 ? 0 : Math.max(1, Math.floor(activeSize * share));
 
 const eject = (state: RouterState, host: HostState, reason: EjectionReason, nowMs: number): void => {
 	const {group} = host.tier!;
@@ -118,14 +118,14 @@
 		return;
 	}
 
-	if (group.ejected.size >= mostEjected(group, state.options.maxEjectedShare)) {
+	if (group.ejected.size >= maxEjected(group, state.options.maxEjectedShare)) {
 		panic(state, group, nowMs);
 		return;
 	}
 
 	host.ejections++;
 	host.isEjected = true;
-	host.ejectedUntilMs = nowMs + Math.min(longestEjectionMs, state.options.ejectionMs * (2 ** (host.ejections - 1)));
+	host.ejectedUntilMs = nowMs + Math.min(maxEjectionMs, state.options.ejectionMs * (2 ** (host.ejections - 1)));
 	group.ejected.add(host);
 	refreshHost(state, host, nowMs);
 	state.notices.push({
@@ -134,9 +134,9 @@
 };
 
 /**
- * More hosts look bad than may be ejected: then the signal is bad (this entry's
- * own network, say), and the rest alone could not carry the load either. All
- * come back; penalties still steer between them.
+ * More hosts look unhealthy than may be ejected, so the signal itself is unreliable
+ * (this entry's own network may be failing), and the remaining hosts could not
+ * carry the load alone. All hosts are readmitted; penalties still affect the choice.
  */
 const panic = (state: RouterState, group: Group, nowMs: number): void => {
 	const {panicMs} = state.options;
@@ -161,15 +161,15 @@
 	refreshHost(state, host, nowMs);
 };
 
-/** A host that comes back from ejection starts slowly, and one failure sends it away again. */
-const returnHost = (state: RouterState, host: HostState, nowMs: number): void => {
+/** Readmits an ejected host: it ramps up slowly, and a single failure ejects it again. */
+const readmitOnProbation = (state: RouterState, host: HostState, nowMs: number): void => {
 	readmit(state, host, nowMs);
 	host.consecutiveFailures = state.options.failuresToEject - 1;
 	host.readySinceMs = nowMs;
 	state.notices.push({type: 'returned', hostId: host.hostId});
 };
 
-/** Removes what the group knows of a host that leaves it. */
+/** Removes a leaving host from its group's health records. */
 export const forgetHealth = (host: HostState): void => {
 	const {group} = (host.tier!);
 	group.ejected.delete(host);
@@ -177,7 +177,7 @@
 	host.isEjected = false;
 };
 
-export const noteAwaiting = (host: HostState, nowMs: number): void => {
+export const recordAwaitingFirstByte = (host: HostState, nowMs: number): void => {
 	host.awaiting++;
 	const awaiting = host.tier?.group.awaiting;
 	if (awaiting !== undefined && !awaiting.has(host)) {
@@ -185,8 +185,8 @@
 	}
 };
 
-/** A first byte came, or the request ended without one. */
-export const noteAnswering = (host: HostState, nowMs: number): void => {
+/** Called at the first byte of an answer, or when the request ends without one. */
+export const clearAwaitingFirstByte = (host: HostState, nowMs: number): void => {
 	host.awaiting--;
 	const awaiting = host.tier?.group.awaiting;
 	awaiting?.delete(host);
@@ -195,15 +195,15 @@
 	}
 };
 
-/** How long a host may leave all its requests without a first byte. */
+/** How long a host may leave all its requests without a first byte before it is ejected. */
 const silenceMs = (state: RouterState, group: Group): number => group.outcomes === 0
-	? silentFactor * state.options.silentMs
-	: Math.max(state.options.silentMs, silentFactor * group.latencyMs);
+	? silenceLatencyFactor * state.options.silentMs
+	: Math.max(state.options.silentMs, silenceLatencyFactor * group.latencyMs);
 
 /**
- * A host that accepts and never answers fails no request before the caller's
- * deadline. It is told by its silence: the one that has been silent longest
- * comes first, so only hosts that are due are looked at.
+ * A host that accepts requests and never answers produces no failure before the
+ * caller's deadline, so it is detected by the missing first bytes. Hosts are
+ * ordered by how long they have been silent, so only those that are due are checked.
  */
 const ejectSilent = (state: RouterState, group: Group, nowMs: number): void => {
 	const limitMs = silenceMs(state, group);
@@ -217,30 +217,30 @@
 	}
 };
 
-const returnDue = (state: RouterState, group: Group, nowMs: number): void => {
+const readmitDue = (state: RouterState, group: Group, nowMs: number): void => {
 	for (const host of group.ejected) {
 		if (host.ejectedUntilMs <= nowMs) {
-			returnHost(state, host, nowMs);
+			readmitOnProbation(state, host, nowMs);
 		}
 	}
 
-	// Healthy hosts that leave can make those aside too many, at worst all that
-	// remain: callers would wait though hosts are there. The first aside come back first.
-	const most = mostEjected(group, state.options.maxEjectedShare);
+	// When healthy hosts leave, the ejected ones may exceed the limit, in the worst case
+	// all that remain: callers would wait although hosts exist. The earliest ejected are readmitted first.
+	const limit = maxEjected(group, state.options.maxEjectedShare);
 	for (const host of group.ejected) {
-		if (group.ejected.size <= most) {
+		if (group.ejected.size <= limit) {
 			return;
 		}
 
-		returnHost(state, host, nowMs);
+		readmitOnProbation(state, host, nowMs);
 	}
 };
 
-/** Called a few times a second. */
+/** Ejects and readmits hosts that are due; called several times per second. */
 export const tickRouter = (state: RouterState, nowMs: number): RouterNotice[] => {
 	for (const group of state.groups.values()) {
 		ejectSilent(state, group, nowMs);
-		returnDue(state, group, nowMs);
+		readmitDue(state, group, nowMs);
 	}
 
 	for (const host of state.full) {
--- a/packages/coordination/src/routing/host-state.ts
+++ b/packages/coordination/src/routing/host-state.ts
@@ -2,24 +2,24 @@
 import type {Endpoint, Tier} from './types.js';
 
 /**
- * The numbers of all hosts in one array, those of one host next to each other.
- * As fields of an object each fraction is a box of its own somewhere on the
- * heap, and a decision over 12,000 hosts spends its time waiting for memory.
+ * Stores the numbers of all hosts in one array, with those of one host adjacent.
+ * As object fields, each floating-point number would be boxed separately on the
+ * heap, and routing over 12,000 hosts would spend its time on cache misses.
  */
 export type HostNumbers = {
 	values: Float64Array;
-	/** Starts of hosts that have gone. */
+	/** Start offsets that were freed by removed hosts. */
 	readonly free: number[];
 	hosts: number;
 };
 
-/** Two lines of a processor's cache; what a choice reads is in the first. */
+/** Two CPU cache lines; the first one holds the numbers that endpoint selection reads. */
 const numbersPerHost = 16;
 const initialHosts = 64;
 
 export const createHostNumbers = (): HostNumbers => ({values: new Float64Array(initialHosts * numbersPerHost), free: [], hosts: 0});
 
-const allot = (numbers: HostNumbers): number => {
+const allocate = (numbers: HostNumbers): number => {
 	const start = numbers.free.pop() ?? numbersPerHost * numbers.hosts++;
 	if (start >= numbers.values.length) {
 		const grown = new Float64Array(2 * numbers.values.length);
@@ -31,7 +31,7 @@
 	return start;
 };
 
-/** Gives a gone host's numbers to the next that comes. */
+/** Frees a removed host's numbers for reuse by a new host. */
 export const freeNumbers = ({numbers, start}: HostState): void => {
 	numbers.free.push(start);
 };
@@ -45,18 +45,18 @@
 	readonly entriesAhead: number;
 };
 
-/** What this entry knows of one host: its numbers by name, and what is not a number. */
+/** This entry's state of one host: accessors for its numbers, and the non-numeric fields. */
 export class HostState {
 	readonly numbers: HostNumbers;
 	readonly start: number;
-	/** Where it serves now; `null` while it serves nothing. */
+	/** Tier in which the host serves; `null` while it serves nothing. */
 	tier: Tier | null = null;
 	endpoint: Endpoint;
-	/** This entry keeps connections to it. */
+	/** The host is in this entry's subset, so the entry keeps connections to it. */
 	isActive = false;
 	isEjected = false;
 	readonly hostId: string;
-	/** The record that `endpoint` was made from; another object means a change. */
+	/** The record from which `endpoint` was derived; a different object means a change. */
 	record: HostRecord;
 	readonly weight: number;
 	entriesAhead: number;
@@ -67,7 +67,7 @@
 
 	constructor(numbers: HostNumbers, {record, endpoint, weight, entriesAhead}: HostStateOptions) {
 		this.numbers = numbers;
-		this.start = allot(numbers);
+		this.start = allocate(numbers);
 		this.endpoint = endpoint;
 		this.hostId = endpoint.hostId;
 		this.record = record;
@@ -88,7 +88,7 @@
 		this.numbers.values[this.start] = value;
 	}
 
-	/** Requests of other entries, as last reported and as counted then. */
+	/** Running requests of other entries, computed from the last report. */
 	get others(): number {
 		return this.numbers.values[this.start + 1]!;
 	}
@@ -121,7 +121,7 @@
 		this.numbers.values[this.start + 4] = value;
 	}
 
-	/** Recent failures as extra load; halves with time. */
+	/** Recent failures counted as extra load; decays exponentially. */
 	get penalty(): number {
 		return this.numbers.values[this.start + 5]!;
 	}
@@ -138,7 +138,7 @@
 		this.numbers.values[this.start + 6] = value;
 	}
 
-	/** What the tier's totals hold of this host. */
+	/** This host's contribution to the tier's total load. */
 	get countedLoad(): number {
 		return this.numbers.values[this.start + 7]!;
 	}
@@ -147,7 +147,7 @@
 		this.numbers.values[this.start + 7] = value;
 	}
 
-	/** Place of the last of them. */
+	/** Index in the start times of its most recent request in flight. */
 	get latestStart(): number {
 		return this.numbers.values[this.start + 8]!;
 	}
@@ -156,7 +156,7 @@
 		this.numbers.values[this.start + 8] = value;
 	}
 
-	/** Place in `tier.available`, or -1. */
+	/** Index in `tier.available`, or -1. */
 	get position(): number {
 		return this.numbers.values[this.start + 9]!;
 	}
@@ -165,7 +165,7 @@
 		this.numbers.values[this.start + 9] = value;
 	}
 
-	/** Requests without a first byte. */
+	/** Number of requests that have not received a first byte. */
 	get awaiting(): number {
 		return this.numbers.values[this.start + 10]!;
 	}
@@ -182,7 +182,7 @@
 		this.numbers.values[this.start + 11] = value;
 	}
 
-	/** Moving averages over outcomes. */
+	/** Moving average over outcomes, like `latencyMs`. */
 	get failureShare(): number {
 		return this.numbers.values[this.start + 12]!;
 	}
@@ -199,7 +199,7 @@
 		this.numbers.values[this.start + 13] = value;
 	}
 
-	/** Place in the start times of its oldest request in flight. */
+	/** Index in the start times of its oldest request in flight. */
 	get oldestStart(): number {
 		return this.numbers.values[this.start + 14]!;
 	}
--- a/packages/coordination/src/routing/load.ts
+++ b/packages/coordination/src/routing/load.ts
@@ -3,23 +3,23 @@
 import type {ResolvedRouterOptions, RouterState} from './types.js';
 
 /**
- * Requests of other entries, as far as the last report still counts. A report
- * that is never renewed must fade: a host once seen full would otherwise get no
- * requests, and so never report that it is free.
+ * Estimated running requests of other entries: the last report, decayed by its
+ * age. A report that is not renewed must decay; otherwise a host that was reported
+ * full would get no requests and so never report that it has spare slots.
  */
-const othersOn = ({others, reportedAtMs}: HostState, {reportHalfLifeMs}: ResolvedRouterOptions, nowMs: number): number => others === 0
+const otherEntriesLoad = ({others, reportedAtMs}: HostState, {reportHalfLifeMs}: ResolvedRouterOptions, nowMs: number): number => others === 0
 	? 0
 	: others * (2 ** (-(nowMs - reportedAtMs) / reportHalfLifeMs));
 
-/** Requests that run on a host, by this entry's reckoning. */
-export const loadOf = (host: HostState, options: ResolvedRouterOptions, nowMs: number): number => host.running + Math.round(othersOn(host, options, nowMs));
+/** This entry's estimate of the requests running on a host. */
+export const loadOf = (host: HostState, options: ResolvedRouterOptions, nowMs: number): number => host.running + Math.round(otherEntriesLoad(host, options, nowMs));
 
-const leastRamp = 0.1;
+const minRamp = 0.1;
 
-/** A fresh replica has cold caches; it counts as smaller until it has run for a while. */
+/** A new replica has cold caches, so its capacity counts only in part until it has run for a while. */
 const rampOf = ({readySinceMs}: HostState, {slowStartMs}: ResolvedRouterOptions, nowMs: number): number => {
 	const share = (nowMs - readySinceMs) / slowStartMs;
-	return share >= 1 ? 1 : Math.max(leastRamp, share);
+	return share >= 1 ? 1 : Math.max(minRamp, share);
 };
 
 const penaltyHalfLifeMs = 2000;
@@ -28,22 +28,23 @@
 	? 0
 	: penalty * (2 ** (-(nowMs - penaltyAtMs) / penaltyHalfLifeMs));
 
-/** Which of two hosts is the better choice: the lower, by the load that one request more would make. */
+/** Relative load of the host with one more request; the host with the lower score is preferred. */
 export const scoreOf = (host: HostState, options: ResolvedRouterOptions, nowMs: number): number => {
-	const load = host.running + othersOn(host, options, nowMs) + penaltyOf(host, nowMs) + 1;
+	const load = host.running + otherEntriesLoad(host, options, nowMs) + penaltyOf(host, nowMs) + 1;
 	return load / (host.capacity * rampOf(host, options, nowMs));
 };
 
 export type LoadReport = {
-	/** Requests that ran on the host, of all entries. */
+	/** Requests running on the host, from all entries. */
 	readonly running: number;
-	/** How long ago that was. */
+	/** Age of the report. */
 	readonly ageMs: number;
 };
 
 /**
- * Takes a host's report. What this entry has sent since is not in it, so only
- * its requests from before are taken off; the rest belongs to others.
+ * Applies a host's load report. It doesn't include requests that this entry sent
+ * later, so only this entry's earlier requests are subtracted; the remainder
+ * belongs to other entries.
  */
 export const noteLoadReport = (state: RouterState, hostId: string, {running, ageMs}: LoadReport, nowMs: number): void => {
 	const host = state.hosts.get(hostId);
@@ -58,7 +59,7 @@
 	refreshHost(state, host, nowMs);
 };
 
-/** Brings the host's place among those with room, and its tier's totals, up to date. */
+/** Updates the tier's totals and whether the host counts as available. */
 export const refreshHost = (state: RouterState, host: HostState, nowMs: number): void => {
 	const {tier} = host;
 	if (tier === null) {
@@ -74,16 +75,16 @@
 	tier.capacity += countedCapacity - host.countedCapacity;
 	host.countedLoad = countedLoad;
 	host.countedCapacity = countedCapacity;
-	const hasRoom = load < capacity;
-	setAvailable(host, isCounted && hasRoom);
-	if (isCounted && !hasRoom) {
+	const hasSpareSlots = load < capacity;
+	setAvailable(host, isCounted && hasSpareSlots);
+	if (isCounted && !hasSpareSlots) {
 		state.full.add(host);
 	} else {
 		state.full.delete(host);
 	}
 };
 
-/** Keeps `tier.available` dense, so that a random member is found in one step at any size. */
+/** Keeps `tier.available` dense, so that picking a random member takes constant time. */
 const setAvailable = (host: HostState, isAvailable: boolean): void => {
 	const {available} = host.tier!;
 	if (isAvailable === (host.position >= 0)) {
--- a/packages/coordination/src/routing/placement.ts
+++ b/packages/coordination/src/routing/placement.ts
@@ -7,13 +7,13 @@
 import {freeNumbers, HostState} from './host-state.js';
 import {refreshHost} from './load.js';
 import {
-	countEntriesAhead, isDrawnBy, offerToMinimum, removeFromMinimum,
+	countEntriesAhead, isInSubset, offerToMinimum, removeFromMinimum,
 } from './subset.js';
 import type {
 	Endpoint, Group, RouterState, Tier,
 } from './types.js';
 
-/** Where a host belongs: hosts with the same key can answer the same requests. */
+/** Key of the group that a host belongs to; hosts with the same key can answer the same requests. */
 const groupKeyOf = ({status, announcement, assignment, readyVersionId}: HostRecord): string | null => {
 	if (status !== 'serving') {
 		return null;
@@ -64,12 +64,12 @@
 };
 
 export type PlaceOptions = {
-	/** The entry has just started and knows no host yet: none of them is fresh. */
+	/** The entry has just started and knows no host yet, so no host counts as newly ready. */
 	readonly isInitial: boolean;
 	readonly nowMs: number;
 };
 
-/** Takes a host's new record and moves it to where it belongs. */
+/** Applies a host's new record and moves the host to its group. */
 export const placeHost = (state: RouterState, record: HostRecord, {isInitial, nowMs}: PlaceOptions): void => {
 	const {hostId, incarnation} = record.announcement;
 	let host = state.hosts.get(hostId);
@@ -156,7 +156,7 @@
 };
 
 const updateActivity = (state: RouterState, host: HostState, nowMs: number): void => {
-	setActive(state, host, host.tier!.minimum.includes(host) || isDrawnBy(state, host), nowMs);
+	setActive(state, host, host.tier!.minimum.includes(host) || isInSubset(state, host), nowMs);
 };
 
 const setActive = (state: RouterState, host: HostState, isActive: boolean, nowMs: number): void => {
@@ -174,17 +174,17 @@
 	refreshHost(state, host, nowMs);
 };
 
-/** Each costs one hash for each host: 12,000 of them are about 3 ms. */
+/** Each change costs one hash per host; 12,000 hashes take about 3 ms. */
 const entryChangesPerStep = 4;
 
 /**
- * Takes the names of all entries and draws the subset anew, a few entries at a
- * time so that requests are not held up; returns whether all are taken in.
+ * Applies the list of all entries and recomputes the subset, a few entries per
+ * call so that requests are not delayed; returns whether all changes are applied.
  */
 export const setEntries = (state: RouterState, entryIds: readonly string[], nowMs: number): boolean => {
-	const wanted = new Set(entryIds.filter(id => id !== state.options.entryId));
-	const joined = [...wanted].filter(id => !state.otherEntries.has(id));
-	const left = [...state.otherEntries].filter(id => !wanted.has(id));
+	const listed = new Set(entryIds.filter(id => id !== state.options.entryId));
+	const joined = [...listed].filter(id => !state.otherEntries.has(id));
+	const left = [...state.otherEntries].filter(id => !listed.has(id));
 	const changes = [...joined, ...left].slice(0, entryChangesPerStep);
 	for (const entryId of changes) {
 		changeEntry(state, entryId, nowMs);
--- a/packages/coordination/src/routing/router.ts
+++ b/packages/coordination/src/routing/router.ts
@@ -4,7 +4,7 @@
 import {findOnRing} from './hash-ring.js';
 import {createHostNumbers, freeNumbers, type HostState} from './host-state.js';
 import {
-	noteAnswering, noteAwaiting, noteOutcome, type RequestOutcome,
+	clearAwaitingFirstByte, recordAwaitingFirstByte, recordOutcome, type RequestOutcome,
 } from './health.js';
 import {loadOf, refreshHost, scoreOf} from './load.js';
 import {createStartTimes, dropOldestStart, pushStart} from './start-times.js';
@@ -25,20 +25,20 @@
 	= | {
 		readonly type: 'chosen';
 		readonly endpoint: Endpoint;
-		/** Hosts whose load should be asked for: what is known of them is old. */
+		/** Hosts whose load should be probed, because their last report is stale. */
 		readonly probes: readonly Endpoint[];
 	}
 	| {readonly type: 'unknownTarget'}
-	/** Nothing serves the target, or all that does was tried. */
+	/** No endpoint serves the target, or all that do were tried. */
 	| {readonly type: 'noEndpoint'}
-	/** All that serves the target is full. */
+	/** All endpoints that serve the target are full. */
 	| {readonly type: 'busy'};
 
 export type ChooseOptions = {
 	readonly target: RouteTarget;
-	/** Hosts that this request has tried already. */
+	/** Hosts that this request has already tried. */
 	readonly tried: ReadonlySet<string>;
-	/** Start of the prompt; requests with the same go to the same host while its load allows. @default null */
+	/** Key of the prompt's prefix; requests with the same key go to the same host while its load allows. @default null */
 	readonly prefixKey?: string | null;
 };
 
@@ -46,9 +46,9 @@
 const affinityTries = 3;
 
 /**
- * Picks an endpoint: a fleet by its share of the traffic, the nearest tier that
- * is not yet loaded, there the owner of the prompt's prefix, or of two random
- * hosts the less loaded. Its cost does not depend on the number of endpoints.
+ * Picks an endpoint: a fleet according to the traffic split, then the nearest tier
+ * that is not loaded yet, and there the owner of the prompt's prefix or the less
+ * loaded of two random hosts. The cost does not depend on the number of endpoints.
  */
 export const chooseEndpoint = (state: RouterState, options: ChooseOptions, nowMs: number): Choice => {
 	const groups = groupsFor(state, options.target);
@@ -69,18 +69,18 @@
 		return {type: 'chosen', endpoint: owner.endpoint, probes: noProbes};
 	}
 
-	return chooseOfTwo(state, group, {tier, filter, nowMs});
+	return chooseLessLoadedOfTwo(state, group, {tier, filter, nowMs});
 };
 
 /** Whether a request for the target could start now. */
-export const hasRoom = (state: RouterState, target: RouteTarget): boolean => groupsFor(state, target)?.some(({group}) => groupHasRoom(group)) ?? false;
+export const hasRoom = (state: RouterState, target: RouteTarget): boolean => groupsFor(state, target)?.some(({group}) => groupHasSpareSlots(group)) ?? false;
 
-/** Whether anything serves the target, full or not. */
+/** Whether any endpoint serves the target, full or not. */
 export const hasEndpoint = (state: RouterState, target: RouteTarget): boolean => groupsFor(state, target)?.some(({group}) => group.activeSize > 0) ?? false;
 
 export const isKnownTarget = (state: RouterState, target: RouteTarget): boolean => groupsFor(state, target) !== null;
 
-const groupHasRoom = ({tiers: [zone, region, far]}: Group): boolean => zone.available.length > 0 || region.available.length > 0 || far.available.length > 0;
+const groupHasSpareSlots = ({tiers: [zone, region, far]}: Group): boolean => zone.available.length > 0 || region.available.length > 0 || far.available.length > 0;
 
 const groupsFor = (state: RouterState, target: RouteTarget): readonly TrafficGroup[] | null => {
 	if (target.type === 'model') {
@@ -99,39 +99,39 @@
 const groupsWithAdapter = ({adapters}: RouterState, groups: readonly TrafficGroup[] | null, name: string, adapterId: string): readonly TrafficGroup[] | null =>
 	adapters.has(name) ? groups?.filter(({adapterIds}) => adapterIds?.includes(adapterId)) ?? null : null;
 
-/** A full fleet's share goes to the others: the operator's percentages hold while there is room. */
+/** Distributes a full fleet's share over the others; the configured percentages apply while every fleet has spare slots. */
 const pickGroup = (state: RouterState, groups: readonly TrafficGroup[]): Group | null => {
 	let total = 0;
 	for (const {group, percent} of groups) {
-		total += groupHasRoom(group) ? percent : 0;
+		total += groupHasSpareSlots(group) ? percent : 0;
 	}
 
 	if (total === 0) {
 		return null;
 	}
 
-	let draw = state.options.random.between(0, Math.ceil(total * 100) - 1) / 100;
-	let last: Group | null = null;
+	let remainingPercent = state.options.random.between(0, Math.ceil(total * 100) - 1) / 100;
+	let picked: Group | null = null;
 	for (const {group, percent} of groups) {
-		if (!groupHasRoom(group)) {
+		if (!groupHasSpareSlots(group)) {
 			continue;
 		}
 
-		last = group;
-		draw -= percent;
-		if (draw < 0) {
+		picked = group;
+		remainingPercent -= percent;
+		if (remainingPercent < 0) {
 			break;
 		}
 	}
 
-	return last;
+	return picked;
 };
 
 const utilisation = ({load, capacity}: Tier): number => capacity === 0 ? 1 : load / capacity;
 
-/** The nearest tier below the share from which requests spill; when all are above, the least loaded with room. */
+/** The nearest tier below the spill threshold; if all are above it, the least loaded tier with spare slots. */
 const pickTier = (state: RouterState, {tiers}: Group): Tier => {
-	let least: Tier | null = null;
+	let leastLoaded: Tier | null = null;
 	for (const tier of tiers) {
 		if (tier.available.length === 0) {
 			continue;
@@ -141,19 +141,19 @@
 			return tier;
 		}
 
-		if (least === null || utilisation(tier) < utilisation(least)) {
-			least = tier;
+		if (leastLoaded === null || utilisation(tier) < utilisation(leastLoaded)) {
+			leastLoaded = tier;
 		}
 	}
 
-	return least!;
+	return leastLoaded!;
 };
 
 /**
- * The host that owns the prefix, unless it is loaded above its tier's mean by
- * the factor: a popular prefix would otherwise pile up on one host. Entries
- * agree on the owner without telling each other, and cache events, which come
- * late and with gaps, are not needed.
+ * The host that owns the prefix, unless its load exceeds the tier's mean by the
+ * affinity factor; otherwise a popular prefix would overload one host. Entries
+ * agree on the owner without communicating, and no cache events are needed, which
+ * would arrive late and incompletely.
  */
 const ownerOf = (state: RouterState, tier: Tier, {prefixKey, filter}: {readonly prefixKey: string | null; readonly filter: HostFilter}, nowMs: number): HostState | null => {
 	if (prefixKey === null) {
@@ -161,29 +161,29 @@
 	}
 
 	const {options} = state;
-	const share = Math.max(options.affinityFloor, options.affinityFactor * utilisation(tier));
+	const maxScore = Math.max(options.affinityFloor, options.affinityFactor * utilisation(tier));
 	return findOnRing(tier.ring, prefixKey, affinityTries, host => host.position >= 0
-		&& scoreOf(host, options, nowMs) <= Math.max(share, 1 / host.capacity)
+		&& scoreOf(host, options, nowMs) <= Math.max(maxScore, 1 / host.capacity)
 		&& isUsable(host, filter));
 };
 
-type Drawing = {readonly tier: Tier; readonly filter: HostFilter; readonly nowMs: number};
+type PickContext = {readonly tier: Tier; readonly filter: HostFilter; readonly nowMs: number};
 
-const chooseOfTwo = (state: RouterState, group: Group, {tier, filter, nowMs}: Drawing): Choice => {
-	const first = drawUntried(state, tier, filter) ?? drawAnywhere(state, group, filter);
+const chooseLessLoadedOfTwo = (state: RouterState, group: Group, {tier, filter, nowMs}: PickContext): Choice => {
+	const first = pickRandomUntried(state, tier, filter) ?? pickFromAnyTier(state, group, filter);
 	if (first === null) {
 		return {type: isWorthWaiting(group, filter) ? 'busy' : 'noEndpoint'};
 	}
 
-	const second = drawUntried(state, first.tier!, filter) ?? first;
+	const second = pickRandomUntried(state, first.tier!, filter) ?? first;
 	const best = scoreOf(second, state.options, nowMs) < scoreOf(first, state.options, nowMs) ? second : first;
 	const probes = first === second ? noProbes : [first, second].filter(host => isProbeDue(state, host, nowMs)).map(host => host.endpoint);
 	return {type: 'chosen', endpoint: best.endpoint, probes};
 };
 
-const drawAnywhere = (state: RouterState, {tiers}: Group, filter: HostFilter): HostState | null => {
+const pickFromAnyTier = (state: RouterState, {tiers}: Group, filter: HostFilter): HostState | null => {
 	for (const tier of tiers) {
-		const host = drawUntried(state, tier, filter);
+		const host = pickRandomUntried(state, tier, filter);
 		if (host !== null) {
 			return host;
 		}
@@ -192,15 +192,19 @@
 	return null;
 };
 
-/** A random host with room that may be chosen: of any run of `tried.size + 1` hosts one is untried; holders of an adapter may be few while it is loaded. */
-const drawUntried = ({options}: RouterState, {available}: Tier, filter: HostFilter): HostState | null => {
+/**
+ * A random available host that passes the filter. Among any `tried.size + 1`
+ * consecutive hosts at least one is untried; with an adapter all are checked,
+ * because few hosts may hold it while it is being loaded.
+ */
+const pickRandomUntried = ({options}: RouterState, {available}: Tier, filter: HostFilter): HostState | null => {
 	if (available.length === 0) {
 		return null;
 	}
 
 	const start = options.random.between(0, available.length - 1);
-	const looks = filter.adapterId === undefined ? Math.min(available.length, filter.tried.size + 1) : available.length;
-	for (let step = 0; step < looks; step++) {
+	const maxChecks = filter.adapterId === undefined ? Math.min(available.length, filter.tried.size + 1) : available.length;
+	for (let step = 0; step < maxChecks; step++) {
 		const host = available[(start + step) % available.length]!;
 		if (isUsable(host, filter)) {
 			return host;
@@ -210,7 +214,7 @@
 	return null;
 };
 
-/** Only a host that others may use as well has a load that this entry cannot know. */
+/** A probe is useful only if other entries exist, because their load on the host is unknown to this entry. */
 const isProbeDue = (state: RouterState, host: HostState, nowMs: number): boolean => {
 	const {staleMs} = state.options;
 	if (state.otherEntries.size === 0 || nowMs - host.reportedAtMs <= staleMs || nowMs - host.probedAtMs <= staleMs) {
@@ -228,15 +232,15 @@
 	}
 
 	pushStart(state.starts, host, nowMs);
-	noteAwaiting(host, nowMs);
+	recordAwaitingFirstByte(host, nowMs);
 	refreshHost(state, host, nowMs);
 };
 
-/** The first byte of an answer came. */
+/** Records the first byte of an answer. */
 export const noteFirstByte = (state: RouterState, hostId: string, nowMs: number): void => {
 	const host = state.hosts.get(hostId);
 	if (host !== undefined) {
-		noteAnswering(host, nowMs);
+		clearAwaitingFirstByte(host, nowMs);
 	}
 };
 
@@ -254,21 +258,21 @@
 
 	dropOldestStart(state.starts, host);
 	if (!hadFirstByte) {
-		noteAnswering(host, nowMs);
+		clearAwaitingFirstByte(host, nowMs);
 	}
 
 	if (outcome.type === 'full') {
-		// What the door has just proved goes before any earlier report.
+		// The refusal by the request gate is more recent than any report.
 		host.others = Math.max(host.others, host.capacity - host.running);
 		host.reportedAtMs = nowMs;
 	} else if (outcome.type === 'answered') {
-		// It left a place free. A report from before this entry's last starts counts
-		// that place as another's still; by it the host would stay full, and idle,
-		// until the report has faded.
+		// The request has freed a slot. A report from before this entry's latest starts still
+		// counts that slot as used by another entry; the host would appear full while it is
+		// idle until the report has decayed.
 		host.others = Math.min(host.others, Math.max(0, host.capacity - 1 - host.running));
 	}
 
-	noteOutcome(state, host, outcome, nowMs);
+	recordOutcome(state, host, outcome, nowMs);
 	refreshHost(state, host, nowMs);
 	if (host.tier === null && host.running === 0) {
 		state.hosts.delete(hostId);
@@ -279,8 +283,8 @@
 /** This entry's requests in flight on a host. */
 export const inFlightOn = (state: RouterState, hostId: string): number => state.hosts.get(hostId)?.running ?? 0;
 
-/** Load of a host as this entry reckons it. */
-export const knownLoad = (state: RouterState, hostId: string, nowMs: number): number => {
+/** This entry's estimate of a host's load. */
+export const estimatedLoad = (state: RouterState, hostId: string, nowMs: number): number => {
 	const host = state.hosts.get(hostId);
 	return host === undefined ? 0 : loadOf(host, state.options, nowMs);
 };
--- a/packages/coordination/src/routing/start-times.ts
+++ b/packages/coordination/src/routing/start-times.ts
@@ -1,13 +1,13 @@
 import type {HostState} from './host-state.js';
 
 /**
- * When each request in flight started, of all hosts in one list: places are
- * used again, so it stays as short as there are requests. An array for each
- * host would be made and thrown away with every request of a seldom used host.
+ * Start times of the requests in flight of all hosts, in one shared list. Indexes
+ * are reused, so its length is bounded by the number of concurrent requests. With
+ * one array per host, a rarely used host would allocate a new array per request.
  */
 export type StartTimes = {
 	readonly atMs: number[];
-	/** The next later start at the same host. */
+	/** Index of the next later start at the same host. */
 	readonly next: number[];
 	readonly free: number[];
 };
@@ -16,39 +16,39 @@
 
 const none = -1;
 
-/** A request starts at the host. */
+/** Records the start of a request at the host. */
 export const pushStart = (starts: StartTimes, host: HostState, nowMs: number): void => {
-	const place = starts.free.pop() ?? starts.atMs.length;
-	starts.atMs[place] = nowMs;
-	starts.next[place] = none;
+	const index = starts.free.pop() ?? starts.atMs.length;
+	starts.atMs[index] = nowMs;
+	starts.next[index] = none;
 	if (host.running === 0) {
-		host.oldestStart = place;
+		host.oldestStart = index;
 	} else {
-		starts.next[host.latestStart] = place;
+		starts.next[host.latestStart] = index;
 	}
 
-	host.latestStart = place;
+	host.latestStart = index;
 	host.running++;
 };
 
-/** A request ends at the host; which one is not known, so the oldest is taken off. */
+/** Records the end of a request at the host; which one is unknown, so the oldest start is removed. */
 export const dropOldestStart = (starts: StartTimes, host: HostState): void => {
 	if (host.running === 0) {
 		return;
 	}
 
-	const place = host.oldestStart;
-	host.oldestStart = starts.next[place]!;
-	starts.free.push(place);
+	const index = host.oldestStart;
+	host.oldestStart = starts.next[index]!;
+	starts.free.push(index);
 	host.running--;
 };
 
-/** How many of the host's requests in flight had started by then. */
+/** Number of the host's requests in flight that had started by `untilMs`. */
 export const countStartedBy = ({atMs, next}: StartTimes, host: HostState, untilMs: number): number => {
 	let count = 0;
-	let place = host.running === 0 ? none : host.oldestStart;
-	for (; place !== none; place = next[place]!) {
-		count += atMs[place]! <= untilMs ? 1 : 0;
+	let index = host.running === 0 ? none : host.oldestStart;
+	for (; index !== none; index = next[index]!) {
+		count += atMs[index]! <= untilMs ? 1 : 0;
 	}
 
 	return count;
--- a/packages/coordination/src/routing/subset.ts
+++ b/packages/coordination/src/routing/subset.ts
@@ -3,11 +3,11 @@
 import type {RouterState, Tier} from './types.js';
 
 /**
- * Whether this entry is among the `entriesPerEndpoint` that the host draws by
- * rendezvous hash. Because the host draws its entries and not the other way
- * round, every host has as many; and an entry that goes moves only what it held.
+ * Whether this entry is among the `entriesPerEndpoint` entries assigned to the host
+ * by rendezvous hashing. Because entries are selected per host and not hosts per
+ * entry, every host has equally many, and an entry that leaves affects only its own hosts.
  */
-export const isDrawnBy = ({options}: RouterState, {entriesAhead}: HostState): boolean => entriesAhead < options.entriesPerEndpoint;
+export const isInSubset = ({options}: RouterState, {entriesAhead}: HostState): boolean => entriesAhead < options.entriesPerEndpoint;
 
 export const countEntriesAhead = ({otherEntries}: RouterState, hostId: string, weight: number): number => {
 	let ahead = 0;
@@ -19,9 +19,8 @@
 };
 
 /**
- * An entry also keeps some hosts of each distance for itself: a group of ten
- * hosts would otherwise be unknown to most entries. Returns the host that fell
- * out, if any.
+ * An entry also keeps a minimum number of hosts per tier; otherwise most entries
+ * would have no host of a group of ten. Returns the host that was displaced, if any.
  */
 export const offerToMinimum = ({options: {minimumPerTier}}: RouterState, {minimum}: Tier, host: HostState): HostState | null => {
 	const worst = minimum.at(-1);
@@ -34,7 +33,7 @@
 	return minimum.length > minimumPerTier ? minimum.pop()! : null;
 };
 
-/** Takes a host out; returns the one that comes in for it, if any. */
+/** Removes a host; returns its replacement, if any. */
 export const removeFromMinimum = ({minimum, members}: Tier, host: HostState): HostState | null => {
 	const position = minimum.indexOf(host);
 	if (position === -1) {
--- a/packages/coordination/src/routing/types.ts
+++ b/packages/coordination/src/routing/types.ts
@@ -3,7 +3,7 @@
 import type {HostNumbers, HostState} from './host-state.js';
 import type {StartTimes} from './start-times.js';
 
-/** What a request asks for. */
+/** The model, adapter or service that a request is for. */
 export type RouteTarget
 	= | {readonly type: 'model'; readonly modelId: string; readonly adapterId?: string}
 		| {readonly type: 'service'; readonly serviceId: string};
@@ -11,23 +11,23 @@
 export type Endpoint = {
 	readonly hostId: string;
 	readonly address: string;
-	/** Of the agent; a restarted agent has forgotten what it let through. */
+	/** Incarnation of the agent; a restarted agent has lost its records of admitted requests. */
 	readonly incarnation: number;
 	readonly zoneId: string;
 	readonly regionId: string;
 	readonly capacity: number;
-	/** The version that an answer must carry; `null` for a plain service. */
+	/** Version that an answer must state; `null` for a plain service. */
 	readonly versionId: string | null;
 	readonly fleetId: string | null;
 };
 
-/** The hosts of a group at one distance from this entry. */
+/** The hosts of a group that are at the same distance from this entry. */
 export type Tier = {
 	readonly group: Group;
 	readonly members: Set<HostState>;
-	/** The members of greatest weight for this entry, best first. */
+	/** The members with the greatest weight for this entry, in descending order. */
 	readonly minimum: HostState[];
-	/** Active hosts that have room, in any order. */
+	/** Active hosts with spare slots, in any order. */
 	readonly available: HostState[];
 	readonly ring: HashRing<HostState>;
 	load: number;
@@ -42,9 +42,9 @@
 	size: number;
 	activeSize: number;
 	readonly ejected: Set<HostState>;
-	/** Ejections are lifted until then. */
+	/** No host is ejected before this time. */
 	panicUntilMs: number;
-	/** Hosts with requests without a first byte, by when one last answered; the oldest comes first. */
+	/** Hosts with requests that await a first byte, and since when none has arrived; the oldest comes first. */
 	readonly awaiting: Map<HostState, number>;
 	failureShare: number;
 	latencyMs: number;
@@ -54,7 +54,7 @@
 export type TrafficGroup = {
 	readonly percent: number;
 	readonly group: Group;
-	/** Adapters of the group's version that its hosts are to hold; a host may not yet. */
+	/** Adapters of the group's version that are assigned to its hosts; a host may not have loaded them yet. */
 	readonly adapterIds?: readonly string[];
 };
 
@@ -63,37 +63,37 @@
 	readonly zoneId: string;
 	readonly regionId: string;
 	readonly random: Random;
-	/** Entries that each endpoint is known to at least. @default 4 */
+	/** Minimum number of entries that use each endpoint. @default 4 */
 	readonly entriesPerEndpoint?: number;
-	/** Hosts of each distance that an entry keeps at least, for each group. @default 12 */
+	/** Minimum number of hosts per tier of each group that an entry uses. @default 12 */
 	readonly minimumPerTier?: number;
-	/** Share of a nearer tier's capacity from which requests go further away. @default 0.8 */
+	/** Utilisation of a tier from which requests spill to the next farther tier. @default 0.8 */
 	readonly spillShare?: number;
-	/** How far above its tier's mean load a host may be for the sake of its cache. @default 1.25 */
+	/** Multiple of its tier's mean load up to which a host is chosen for its cached prefix. @default 1.25 */
 	readonly affinityFactor?: number;
-	/** Share of its capacity up to which a host may always be chosen for its cache. @default 0.5 */
+	/** Fraction of its capacity up to which a host may always be chosen for its cached prefix. @default 0.5 */
 	readonly affinityFloor?: number;
-	/** Reports older than this are probed. @default 1000 */
+	/** Age of a load report from which the host is probed. @default 1000 */
 	readonly staleMs?: number;
-	/** Time in which half of what a report said counts no more. @default 2000 */
+	/** Time after which a load report counts half. @default 2000 */
 	readonly reportHalfLifeMs?: number;
-	/** @default 30000 */
+	/** Time over which a new or readmitted host ramps up to its full capacity. @default 30000 */
 	readonly slowStartMs?: number;
-	/** Largest share of a group that is ejected at once. @default 0.5 */
+	/** Maximum fraction of a group that may be ejected at the same time. @default 0.5 */
 	readonly maxEjectedShare?: number;
-	/** How long nothing is ejected after more looked bad than may be ejected; 0 only keeps to the share. @default 10000 */
+	/** How long no host is ejected after the limit was exceeded; 0 disables this and only applies the limit. @default 10000 */
 	readonly panicMs?: number;
-	/** Failures in a row that eject a host. @default 3 */
+	/** Consecutive failures that eject a host. @default 3 */
 	readonly failuresToEject?: number;
-	/** First time of ejection; doubles each time. @default 5000 */
+	/** Duration of the first ejection; doubles with each further one. @default 5000 */
 	readonly ejectionMs?: number;
-	/** No first byte for this long ejects, at least. @default 2000 */
+	/** Minimum time without a first byte before a host is ejected. @default 2000 */
 	readonly silentMs?: number;
 };
 
 export type ResolvedRouterOptions = Required<RouterOptions>;
 
-/** An entry's own view of its endpoints. */
+/** An entry's view of its endpoints. */
 export type RouterState = {
 	readonly options: ResolvedRouterOptions;
 	revision: number;
@@ -103,21 +103,21 @@
 	readonly groups: Map<string, Group>;
 	readonly models: Map<string, TrafficGroup[]>;
 	readonly services: Map<string, Group | null>;
-	/** Adapters of any version, as callers name them: `adapterNameOf`. */
+	/** Adapters of all versions, by the name that callers use (see `adapterNameOf`). */
 	readonly adapters: Set<string>;
-	/** All other entries, as far as they are taken in. */
+	/** The other entries whose changes `setEntries` has applied. */
 	readonly otherEntries: Set<string>;
-	/** Hosts that are full by what others were reported to run. */
+	/** Active hosts without spare slots, re-evaluated at each tick because reported loads decay. */
 	readonly full: Set<HostState>;
-	/** Moving average over outcomes, by zone. */
+	/** Moving average of failures over outcomes, by zone. */
 	readonly zoneFailureShares: Map<string, number>;
-	/** Ejections and returns since `tickRouter` was last called. */
+	/** Ejections, readmissions and panics since the last call of `tickRouter`. */
 	notices: RouterNotice[];
 };
 
 export type EjectionReason = 'failures' | 'failureShare' | 'latency' | 'silent';
 
-/** What an operator may want to know. */
+/** Router event that is reported to operators. */
 export type RouterNotice
 	= | {readonly type: 'ejected'; readonly hostId: string; readonly reason: EjectionReason; readonly untilMs: number}
 		| {readonly type: 'returned'; readonly hostId: string}
--- a/packages/coordination/src/routing/update-router.ts
+++ b/packages/coordination/src/routing/update-router.ts
@@ -6,8 +6,8 @@
 import type {Group, RouterState, TrafficGroup} from './types.js';
 
 /**
- * Hosts whose records the changes can have replaced; `null` when a change plans
- * assignments, after which any host may have another one.
+ * Ids of the hosts whose records the changes may have replaced; `null` if a change
+ * replans assignments, after which any host's record may differ.
  */
 export const changedHostIds = (changes: readonly Change[]): ReadonlySet<string> | null => {
 	const hostIds = new Set<string>();
@@ -25,25 +25,25 @@
 };
 
 /**
- * Follows the catalog. With the ids of the changed hosts the cost is theirs;
- * without, each host's record is compared by identity, which is one comparison
- * a host, and only the changed ones are placed anew.
+ * Applies the catalog. With the ids of the changed hosts, the cost depends only on
+ * them; without, each host's record is compared by identity, which is one
+ * comparison per host, and only the changed hosts are placed again.
  */
 export const updateRouter = (state: RouterState, catalog: Catalog, hostIds: ReadonlySet<string> | null, nowMs: number): void => {
 	const place: PlaceOptions = {isInitial: state.revision === 0, nowMs};
 	if (hostIds === null) {
-		followAll(state, catalog, place);
+		updateAllHosts(state, catalog, place);
 	} else {
 		for (const hostId of hostIds) {
-			followOne(state, catalog, hostId, place);
+			updateHost(state, catalog, hostId, place);
 		}
 	}
 
-	followTraffic(state, catalog);
+	updateTraffic(state, catalog);
 	state.revision = catalog.revision;
 };
 
-const followOne = (state: RouterState, catalog: Catalog, hostId: string, place: PlaceOptions): void => {
+const updateHost = (state: RouterState, catalog: Catalog, hostId: string, place: PlaceOptions): void => {
 	const record = catalog.hosts[hostId];
 	const host = state.hosts.get(hostId);
 	if (record === undefined) {
@@ -55,11 +55,11 @@
 	}
 };
 
-const followAll = (state: RouterState, catalog: Catalog, place: PlaceOptions): void => {
+const updateAllHosts = (state: RouterState, catalog: Catalog, place: PlaceOptions): void => {
 	let recordCount = 0;
-	for (const hostId in catalog.hosts) { // eslint-disable-line guard-for-in -- plain JSON; an array of 12,000 keys at each change would be garbage
+	for (const hostId in catalog.hosts) { // eslint-disable-line guard-for-in -- plain JSON; `Object.keys` would allocate an array of 12,000 keys at each change
 		recordCount++;
-		followOne(state, catalog, hostId, place);
+		updateHost(state, catalog, hostId, place);
 	}
 
 	if (recordCount === state.hosts.size) {
@@ -73,7 +73,7 @@
 	}
 };
 
-const followTraffic = (state: RouterState, catalog: Catalog): void => {
+const updateTraffic = (state: RouterState, catalog: Catalog): void => {
 	state.models.clear();
 	for (const [modelId, {traffic}] of Object.entries(catalog.models)) {
 		const groups: TrafficGroup[] = [];
@@ -100,13 +100,13 @@
 	}
 };
 
-/** Only of the version that the group serves: another version's adapter of the same name is other weights. */
+/** Adapters of the version that the group serves; another version's adapter with the same name has different weights. */
 const adaptersOfGroup = (catalog: Catalog, fleetId: string, {key}: Group): string[] => (catalog.fleets[fleetId]!.adapters?.keys ?? [])
 	.map(adapterKey => catalog.adapters[adapterKey])
 	.filter(adapter => adapter !== undefined && fleetKey(fleetId, adapter.versionId) === key)
 	.map(adapter => adapter!.adapterId);
 
-/** Those with the version in force; while none has it, the largest group with another usable version. */
+/** The group with the version in force; while no host serves it, the largest group with another usable version. */
 const groupOfFleet = (state: RouterState, catalog: Catalog, fleetId: string): Group | null => {
 	const fleet = catalog.fleets[fleetId];
 	if (fleet === undefined) {
--- a/packages/coordination/test/host-numbers.test.ts
+++ b/packages/coordination/test/host-numbers.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import {createCatalog, type Catalog, type HostRecord} from '@bitternpaddle/state';
 import {
-	chooseEndpoint, createRandom, createRouter, inFlightOn, knownLoad, noteEnd, noteLoadReport, noteStart, tickRouter, updateRouter, type RequestOutcome, type RouterState,
+	chooseEndpoint, createRandom, createRouter, inFlightOn, estimatedLoad, noteEnd, noteLoadReport, noteStart, tickRouter, updateRouter, type RequestOutcome, type RouterState,
 } from '@bitternpaddle/coordination';
 
 const addHost = (catalog: Catalog, hostId: string): void => {
@@ -92,7 +92,7 @@
 	const hostIds = Object.keys(catalog.hosts);
 	t.ok(hostIds.length > 300, 'the array has grown');
 	t.same(hostIds.map(id => inFlightOn(router, id)), hostIds.map(id => expected.get(id) ?? 0));
-	t.same(hostIds.map(id => knownLoad(router, id, 4000)), hostIds.map(id => expected.get(id) ?? 0));
+	t.same(hostIds.map(id => estimatedLoad(router, id, 4000)), hostIds.map(id => expected.get(id) ?? 0));
 });
 
 // A report tells an entry's own requests for those of others. It was made
@@ -106,7 +106,7 @@
 
 	finish(router, 'h0', {type: 'cancelled'}, 45);
 	noteLoadReport(router, 'h0', {running: 3, ageMs: 15}, 50);
-	t.equal(knownLoad(router, 'h0', 50), 4, 'of three that ran at 35, one is of others');
+	t.equal(estimatedLoad(router, 'h0', 50), 4, 'of three that ran at 35, one is of others');
 	noteLoadReport(router, 'h1', {running: 4, ageMs: 5}, 50);
-	t.equal(knownLoad(router, 'h1', 50), 4, 'all four are its own');
+	t.equal(estimatedLoad(router, 'h1', 50), 4, 'all four are its own');
 });
--- a/packages/coordination/test/router.test.ts
+++ b/packages/coordination/test/router.test.ts
@@ -3,7 +3,7 @@
 	createCatalog, type Catalog, type HostRecord,
 } from '@bitternpaddle/state';
 import {
-	changedHostIds, chooseEndpoint, createRandom, createRouter, hasRoom, inFlightOn, knownLoad, noteEnd, noteFirstByte, noteLoadReport, noteStart, setEntries,
+	changedHostIds, chooseEndpoint, createRandom, createRouter, hasRoom, inFlightOn, estimatedLoad, noteEnd, noteFirstByte, noteLoadReport, noteStart, setEntries,
 	tickRouter, updateRouter, type ChooseOptions, type RequestOutcome, type RouterOptions, type RouterState,
 } from '@bitternpaddle/coordination';
 
@@ -253,13 +253,13 @@
 	}
 
 	noteLoadReport(router, 'h0', {running: 3, ageMs: 600}, 1500);
-	t.equal(knownLoad(router, 'h0', 1500), 7, 'five of its own, and two of others: three ran, one of them its own');
+	t.equal(estimatedLoad(router, 'h0', 1500), 7, 'five of its own, and two of others: three ran, one of them its own');
 	noteLoadReport(router, 'h0', {running: 16, ageMs: 900}, 1510);
-	t.equal(knownLoad(router, 'h0', 1510), 7, 'an older report that comes late changes nothing');
+	t.equal(estimatedLoad(router, 'h0', 1510), 7, 'an older report that comes late changes nothing');
 	noteLoadReport(router, 'h1', {running: 16, ageMs: 0}, 1600);
 	t.equal(choose(router, 1600), 'h0', 'h1 is full');
 	tickRouter(router, 9000);
-	t.ok(knownLoad(router, 'h1', 9000) <= 2);
+	t.ok(estimatedLoad(router, 'h1', 9000) <= 2);
 	t.ok(new Set(Array.from({length: 20}, () => choose(router, 9000))).has('h1'), 'it is asked again');
 });
 
