--- a/packages/coordination/test/adapter-routing.test.ts
+++ b/packages/coordination/test/adapter-routing.test.ts
@@ -39,45 +39,45 @@
 	return {catalog, router};
 };
 
-const ask = (router: RouterState, adapterId: string, tried: readonly string[] = []): Choice =>
+const choose = (router: RouterState, adapterId: string, tried: readonly string[] = []): Choice =>
 	chooseEndpoint(router, {target: {type: 'model', modelId: 'm', adapterId}, tried: new Set(tried), prefixKey: 'p'.repeat(10)}, 0);
 
-const hostOf = (choice: Choice): string => choice.type === 'chosen' ? choice.endpoint.hostId : choice.type;
+const hostIdOrType = (choice: Choice): string => choice.type === 'chosen' ? choice.endpoint.hostId : choice.type;
 
-// One host of many holds the adapter, and it is further away. Requests for the
-// adapter all go there; one more than it can take waits, for going to another
-// host would end in a refusal.
+// Only one of several hosts holds the adapter, and it is in another zone. All requests
+// for the adapter must go there. When it is full, a request must wait, because
+// another host would refuse it.
 t.test('only a host that holds the adapter is chosen', async t => {
 	const {router} = setUp({
 		h1: {zone: 'z1', version: 'm:v2'}, h2: {zone: 'z1', version: 'm:v2', adapters: ['other']}, h3: {zone: 'z2', version: 'm:v2', adapters: ['other', 'tone']},
 	});
-	const chosen = Array.from({length: 20}, () => hostOf(ask(router, 'tone')));
+	const chosen = Array.from({length: 20}, () => hostIdOrType(choose(router, 'tone')));
 	t.same([...new Set(chosen)], ['h3']);
-	t.equal(hostOf(ask(router, 'tone', ['h3'])), 'noEndpoint', 'it was tried');
+	t.equal(hostIdOrType(choose(router, 'tone', ['h3'])), 'noEndpoint', 'the host was already tried');
 	noteStart(router, 'h3', 0);
-	t.equal(hostOf(ask(router, 'tone')), 'busy', 'it is full');
+	t.equal(hostIdOrType(choose(router, 'tone')), 'busy', 'the host is full');
 });
 
-// While a fleet changes its base, some hosts still hold the adapter of the same
-// name on the old one. As soon as the version in force serves, they are not asked.
-t.test('an adapter of the version that was in force before does not count', async t => {
+// While a fleet switches its base version, some hosts still hold the adapter of the same
+// name for the old version. They must not be chosen once a host serves the version in force.
+t.test('an adapter of the previous version does not count', async t => {
 	const {router} = setUp({h1: {zone: 'z1', version: 'm:v1', adapters: ['tone']}, h2: {zone: 'z1', version: 'm:v2'}});
-	t.equal(hostOf(ask(router, 'tone')), 'noEndpoint');
+	t.equal(hostIdOrType(choose(router, 'tone')), 'noEndpoint');
 	const before = setUp({h1: {zone: 'z1', version: 'm:v1', adapters: ['tone']}});
-	t.equal(hostOf(ask(before.router, 'tone')), 'h1', 'nobody serves the new version yet');
+	t.equal(hostIdOrType(choose(before.router, 'tone')), 'h1', 'no host serves the new version yet');
 });
 
-t.test('an adapter that is unknown, or not loaded, or withdrawn', async t => {
+t.test('an adapter that is unknown, not loaded or withdrawn is not routed', async t => {
 	const {router, catalog} = setUp({h1: {zone: 'z1', version: 'm:v2', adapters: ['tone']}});
-	t.equal(hostOf(ask(router, 'none')), 'unknownTarget');
+	t.equal(hostIdOrType(choose(router, 'none')), 'unknownTarget');
 	catalog.fleets.f = {...catalog.fleets.f!, adapters: {keys: [], fencingNumber: 2}};
 	updateRouter(router, catalog, null, 0);
-	t.equal(hostOf(ask(router, 'tone')), 'noEndpoint');
+	t.equal(hostIdOrType(choose(router, 'tone')), 'noEndpoint');
 	t.notOk(hasEndpoint(router, {type: 'model', modelId: 'm', adapterId: 'tone'}));
 	for (const key of Object.keys(catalog.adapters)) {
 		catalog.adapters[key] = {...catalog.adapters[key]!, isWithdrawn: true};
 	}
 
 	updateRouter(router, catalog, null, 0);
-	t.equal(hostOf(ask(router, 'tone')), 'unknownTarget');
+	t.equal(hostIdOrType(choose(router, 'tone')), 'unknownTarget');
 });
--- a/packages/coordination/test/claimed-call-schedules.test.ts
+++ b/packages/coordination/test/claimed-call-schedules.test.ts
@@ -13,10 +13,10 @@
 const answer: ClaimAnswer = {
 	status: 200, contentType: 'application/json', body: 'e30=', sizeBytes: 2,
 };
-const doorCount = 2;
+const gateCount = 2;
 const entryCount = 3;
 
-/** One entry at work on the same call as all others, an effect at a time. */
+/** An entry that handles the same call as all others, one effect per step. */
 type Entry = {
 	id: string;
 	call: ClaimedCallState;
@@ -24,67 +24,67 @@
 	retry: RetryState | null;
 	retryEffect: RetryEffect | null;
 	place: ClaimPlace | null;
-	/** Brought by the effect before, and not taken yet. */
+	/** Event produced by the previous effect and not handled yet. */
 	pending: ClaimedCallEvent | null;
 	isSent: boolean;
-	resends: number;
+	callerRetries: number;
 };
 
 type World = ReturnType<typeof createWorld>;
 
-const createEntry = (index: number, resends: number): Entry => {
-	const id = `r${index}-${resends}`;
+const createEntry = (index: number, callerRetries: number): Entry => {
+	const id = `r${index}-${callerRetries}`;
 	return {
-		id, resends, call: createClaimedCall({requestId: id}), effect: firstClaimedCallEffect, retry: null, retryEffect: null, place: null, pending: null, isSent: false,
+		id, callerRetries, call: createClaimedCall({requestId: id}), effect: firstClaimedCallEffect, retry: null, retryEffect: null, place: null, pending: null, isSent: false,
 	};
 };
 
 const createWorld = () => ({
 	ledger: createLedger(),
 	budget: createRetryBudget({reservePerSecond: 0, nowMs: 0}),
-	doors: Array.from({length: doorCount}, (_, index): DoorState => createDoor({capacity: 10, incarnation: index + 1})),
+	gates: Array.from({length: gateCount}, (_, index): DoorState => createDoor({capacity: 10, incarnation: index + 1})),
 	entries: Array.from({length: entryCount}, (_, index) => createEntry(index, 0)),
-	/** Requests on their way; a delayed one arrives when the schedule says so. */
-	underWay: [] as ClaimPlace[],
+	/** Requests in transit; each arrives when the schedule delivers it. */
+	inTransit: [] as ClaimPlace[],
 	runs: [] as string[],
-	/** Requests whose callers were told that they did not run. */
-	toldNotRun: [] as string[],
+	/** Requests that were reported to their callers as not run. */
+	reportedNotRun: [] as string[],
 	nextIncarnation: 100,
 	sequence: 0,
 });
 
-const nameOf = (id: string) => ({
+const claimKeyOf = (id: string) => ({
 	teamId: teamId('marshals'), serviceId: serviceId('ledger'), key: idempotencyKey('pitch-12'), requestId: requestId(id),
 });
 
-const doorOf = (world: World, {hostId: host}: ClaimPlace): DoorState => world.doors[Number(host.slice(1))]!;
+const gateOf = (world: World, {hostId: host}: ClaimPlace): DoorState => world.gates[Number(host.slice(1))]!;
 
-/** The answer of control may be lost though the change is written. */
-const proposedBy = (result: CommandResult, isLost: boolean): ClaimedCallEvent => isLost ? {type: 'proposalFailed', reason: 'no answer'} : {type: 'proposed', result};
+/** Control's response may be lost although the change was written. */
+const proposalEvent = (result: CommandResult, isLost: boolean): ClaimedCallEvent => isLost ? {type: 'proposalFailed', reason: 'no answer'} : {type: 'proposed', result};
 
 const propose = (world: World, {id}: Entry, {type, place}: Extract<ClaimedCallEffect, {type: 'claim' | 'move'}>): CommandResult => type === 'claim'
 	? applyClaim(world.ledger, {
-		type: 'claim', ...nameOf(id), bodyDigest: 'a', atMs: 0, place,
+		type: 'claim', ...claimKeyOf(id), bodyDigest: 'a', atMs: 0, place,
 	})
-	: moveClaim(world.ledger, {type: 'moveClaim', ...nameOf(id), place}, 1);
+	: moveClaim(world.ledger, {type: 'moveClaim', ...claimKeyOf(id), place}, 1);
 
 const choose = (world: World, tried: ReadonlySet<string>, pick: number): RetryEvent => {
-	const free = world.doors.map((_, index) => `d${index}`).filter(name => !tried.has(name));
-	return free.length === 0 ? {type: 'noEndpoint'} : {type: 'chosen', hostId: free[pick % free.length]!};
+	const untried = world.gates.map((_, index) => `d${index}`).filter(name => !tried.has(name));
+	return untried.length === 0 ? {type: 'noEndpoint'} : {type: 'chosen', hostId: untried[pick % untried.length]!};
 };
 
 const nextPlace = (world: World, {id, retry}: Entry, number: number): ClaimPlace => {
 	const host = retry!.hostId!;
 	return {
-		hostId: hostId(host), address: '', incarnation: world.doors[Number(host.slice(1))]!.incarnation, attemptId: `${id}.${number}`,
+		hostId: hostId(host), address: '', incarnation: world.gates[Number(host.slice(1))]!.incarnation, attemptId: `${id}.${number}`,
 		issue: {sender: id, sequence: world.sequence++},
 	};
 };
 
-/** The connection is lost, always, and the door asked; at times it is full and refuses before. */
-const awaitAnswer = (world: World, entry: Entry, pick: number): RetryEvent => {
+/** The connection is always lost, so the attempt is resolved at its request gate. A full endpoint has refused before this. */
+const resolveAttempt = (world: World, entry: Entry, pick: number): RetryEvent => {
 	const place = entry.place!;
-	const result = settleAtDoor(doorOf(world, place), place);
+	const result = settleAtDoor(gateOf(world, place), place);
 	if (result === 'notRun') {
 		return {type: 'unanswered', cause: 'lost', verdict: notRun('lost')};
 	}
@@ -94,14 +94,14 @@
 
 const stepAttempts = (world: World, entry: Entry, pick: number): void => {
 	const effect = entry.retryEffect!;
-	const give = (event: RetryEvent): void => {
+	const handle = (event: RetryEvent): void => {
 		entry.retryEffect = stepRetry(entry.retry!, event, 0);
 	};
 
 	switch (effect.type) {
 		case 'choose':
 		case 'requeue': {
-			give(choose(world, effect.tried, pick));
+			handle(choose(world, effect.tried, pick));
 
 			break;
 		}
@@ -109,27 +109,27 @@
 		case 'claim': {
 			if (entry.pending === null) {
 				entry.place = nextPlace(world, entry, effect.number);
-				const asked = stepClaimedCall(entry.call, {type: 'placed', place: entry.place}) as Extract<ClaimedCallEffect, {type: 'claim' | 'move'}>;
-				entry.pending = proposedBy(propose(world, entry, asked), pick % 8 === 0);
+				const proposal = stepClaimedCall(entry.call, {type: 'placed', place: entry.place}) as Extract<ClaimedCallEffect, {type: 'claim' | 'move'}>;
+				entry.pending = proposalEvent(propose(world, entry, proposal), pick % 8 === 0);
 				return;
 			}
 
 			const {type} = stepClaimedCall(entry.call, entry.pending);
 			entry.pending = null;
-			give({type: type === 'dispatch' ? 'claimed' : 'claimRefused'});
+			handle({type: type === 'dispatch' ? 'claimed' : 'claimRefused'});
 
 			break;
 		}
 
 		case 'dispatch': {
 			if (!entry.isSent && pick % 5 === 0) {
-				give({type: 'unanswered', cause: 'doorFull', verdict: notRun('full')});
+				handle({type: 'unanswered', cause: 'doorFull', verdict: notRun('full')});
 			} else if (entry.isSent) {
 				entry.isSent = false;
-				give(awaitAnswer(world, entry, pick));
+				handle(resolveAttempt(world, entry, pick));
 			} else {
 				entry.isSent = true;
-				world.underWay.push(entry.place!);
+				world.inTransit.push(entry.place!);
 			}
 
 			break;
@@ -142,7 +142,7 @@
 	}
 };
 
-const endOfAttempts = ({retryEffect, place}: Entry): AttemptedEnd => {
+const attemptsEnd = ({retryEffect, place}: Entry): AttemptedEnd => {
 	const {end} = retryEffect as Extract<RetryEffect, {type: 'finish'}>;
 	if (end.type === 'answered') {
 		return {type: 'answered', place: place!, answer};
@@ -154,7 +154,7 @@
 const advance = (world: World, index: number, pick: number): void => {
 	const entry = world.entries[index]!;
 	const {effect} = entry;
-	const give = (event: ClaimedCallEvent): void => {
+	const handle = (event: ClaimedCallEvent): void => {
 		entry.effect = stepClaimedCall(entry.call, event);
 	};
 
@@ -166,7 +166,7 @@
 				entry.place = null;
 			} else if (entry.retryEffect!.type === 'finish') {
 				entry.retry = null;
-				give({type: 'attempted', end: endOfAttempts(entry)});
+				handle({type: 'attempted', end: attemptsEnd(entry)});
 			} else {
 				stepAttempts(world, entry, pick);
 			}
@@ -175,15 +175,15 @@
 		}
 
 		case 'claim': {
-			give(proposedBy(propose(world, entry, effect), pick % 8 === 0));
+			handle(proposalEvent(propose(world, entry, effect), pick % 8 === 0));
 
 			break;
 		}
 
 		case 'settle': {
-			const result = effect.place === null ? 'notRun' : settleAtDoor(doorOf(world, effect.place), effect.place);
+			const result = effect.place === null ? 'notRun' : settleAtDoor(gateOf(world, effect.place), effect.place);
 			const found = result === 'unknown' ? {type: 'lost', isForGood: true} as const : (result === 'ran' ? {type: 'ran', answer} as const : {type: result});
-			give({type: 'found', found});
+			handle({type: 'found', found});
 
 			break;
 		}
@@ -191,28 +191,28 @@
 		case 'conclude': {
 			if (pick % 8 !== 0) {
 				concludeClaim(world.ledger, {
-					type: 'concludeClaim', ...nameOf(effect.requestId), attemptId: effect.attemptId, outcome: effect.outcome,
+					type: 'concludeClaim', ...claimKeyOf(effect.requestId), attemptId: effect.attemptId, outcome: effect.outcome,
 				}, 1);
 			}
 
-			give({type: 'concluded'});
+			handle({type: 'concluded'});
 
 			break;
 		}
 
 		case 'finish': {
 			if (effect.reply.type === 'verdict' && effect.reply.verdict.type === 'notRun') {
-				world.toldNotRun.push(entry.id);
+				world.reportedNotRun.push(entry.id);
 			}
 
-			// The caller sends it again.
-			world.entries[index] = createEntry(index, entry.resends + 1);
+			// The caller retries the request.
+			world.entries[index] = createEntry(index, entry.callerRetries + 1);
 
 			break;
 		}
 		// No default
 
-		// These come between an attempt's own steps.
+		// These effects occur only within the steps of an attempt.
 		case 'move':
 		case 'dispatch':
 		case 'stop': {
@@ -221,54 +221,54 @@
 	}
 };
 
-const arrive = (world: World, position: number): void => {
-	if (world.underWay.length === 0) {
+const deliver = (world: World, position: number): void => {
+	if (world.inTransit.length === 0) {
 		return;
 	}
 
-	const [place] = world.underWay.splice(position % world.underWay.length, 1);
-	const door = doorOf(world, place!);
-	if (admitAtDoor(door, place!).type === 'start') {
+	const [place] = world.inTransit.splice(position % world.inTransit.length, 1);
+	const gate = gateOf(world, place!);
+	if (admitAtDoor(gate, place!).type === 'start') {
 		world.runs.push(place!.attemptId);
-		finishAtDoor(door, place!.attemptId, 'ran');
+		finishAtDoor(gate, place!.attemptId, 'ran');
 	}
 };
 
 const action = fc.oneof(
 	{weight: 12, arbitrary: fc.record({type: fc.constant('advance' as const), index: fc.nat(entryCount - 1), pick: fc.nat(39)})},
 	{weight: 3, arbitrary: fc.record({type: fc.constant('arrive' as const), index: fc.nat(5), pick: fc.constant(0)})},
-	{weight: 1, arbitrary: fc.record({type: fc.constant('restartDoor' as const), index: fc.nat(doorCount - 1), pick: fc.constant(0)})},
+	{weight: 1, arbitrary: fc.record({type: fc.constant('restartDoor' as const), index: fc.nat(gateCount - 1), pick: fc.constant(0)})},
 );
 
-// A caller sends one booking again and again through three entries. Each entry
-// may stop for good at any step, control's answers are lost, doors are full,
-// requests arrive late or never, connections are lost, and agents are restarted
-// with all their records gone. Whatever the order, the booking runs at most
-// once, and what was told "not run" has not run.
-t.test('runs at most once under any schedule', async t => {
+// A caller repeatedly sends one booking through three entries. Each entry may stop
+// permanently at any step, control's responses are lost, endpoints are full, requests
+// arrive late or never, connections are lost, and agents restart without their records.
+// Under any order the booking runs at most once, and a request that was reported as
+// "not run" has not run.
+t.test('a call runs at most once under any schedule', async t => {
 	const seed = 20_261_203;
 	t.comment(`seed ${seed}`);
-	const seen = {runs: 0, notRun: 0, resends: 0};
+	const totals = {runs: 0, notRun: 0, callerRetries: 0};
 	fc.assert(fc.property(fc.array(action, {minLength: 40, maxLength: 120}), actions => {
 		const world = createWorld();
 		for (const {type, index, pick} of actions) {
 			if (type === 'advance') {
 				advance(world, index, pick);
 			} else if (type === 'arrive') {
-				arrive(world, index);
+				deliver(world, index);
 			} else {
-				world.doors[index] = createDoor({capacity: 10, incarnation: world.nextIncarnation++});
+				world.gates[index] = createDoor({capacity: 10, incarnation: world.nextIncarnation++});
 			}
 		}
 
-		while (world.underWay.length > 0) {
-			arrive(world, 0);
+		while (world.inTransit.length > 0) {
+			deliver(world, 0);
 		}
 
-		seen.runs += world.runs.length;
-		seen.notRun += world.toldNotRun.length;
-		seen.resends += world.entries.reduce((sum, {resends}) => sum + resends, 0);
-		return world.runs.length <= 1 && world.toldNotRun.every(id => !world.runs.some(run => run.startsWith(`${id}.`)));
+		totals.runs += world.runs.length;
+		totals.notRun += world.reportedNotRun.length;
+		totals.callerRetries += world.entries.reduce((sum, {callerRetries}) => sum + callerRetries, 0);
+		return world.runs.length <= 1 && world.reportedNotRun.every(id => !world.runs.some(run => run.startsWith(`${id}.`)));
 	}), {seed, numRuns: 3000});
-	t.ok(Object.values(seen).every(count => count > 500), JSON.stringify(seen));
+	t.ok(Object.values(totals).every(count => count > 500), JSON.stringify(totals));
 });
--- a/packages/coordination/test/ejection-cap.test.ts
+++ b/packages/coordination/test/ejection-cap.test.ts
@@ -36,10 +36,10 @@
 	return choice.type === 'chosen' ? choice.endpoint.hostId : null;
 };
 
-const asideOf = (router: RouterState): string[] => [...router.hosts.values()].filter(({isEjected}) => isEjected).map(({hostId}) => hostId);
+const ejectedHostIds = (router: RouterState): string[] => [...router.hosts.values()].filter(({isEjected}) => isEjected).map(({hostId}) => hostId);
 
-/** One failed request at the host that is chosen. */
-const fail = (router: RouterState, nowMs: number): void => {
+/** Sends one request to the chosen host and lets it fail. */
+const sendFailingRequest = (router: RouterState, nowMs: number): void => {
 	tickRouter(router, nowMs);
 	const hostId = choose(router, nowMs);
 	if (hostId !== null) {
@@ -48,52 +48,52 @@
 	}
 };
 
-// The entry's own network is bad and every request fails everywhere. Panic,
-// which would take all hosts back, is off: the cap alone must keep half of the
-// hosts in use, for callers whose requests do get through.
-t.test('the cap alone keeps hosts in use under a bad signal', async t => {
-	for (const [count, most] of [[1, 0], [2, 1], [3, 1], [10, 5], [30, 15]] as const) {
+// The entry's own network fails and every request fails on every host. Panic mode,
+// which would readmit all hosts, is disabled: the limit alone must keep half of the
+// hosts in use for requests that do get through.
+t.test('the limit alone keeps hosts in use when all requests fail', async t => {
+	for (const [count, limit] of [[1, 0], [2, 1], [3, 1], [10, 5], [30, 15]] as const) {
 		const {router} = setUp(count, {minimumPerTier: 30});
-		let greatest = 0;
+		let maxEjectedCount = 0;
 		for (let nowMs = 0; nowMs < 30_000; nowMs += 10) {
-			fail(router, nowMs);
-			greatest = Math.max(greatest, asideOf(router).length);
+			sendFailingRequest(router, nowMs);
+			maxEjectedCount = Math.max(maxEjectedCount, ejectedHostIds(router).length);
 		}
 
-		t.equal(greatest, most, `${count} hosts`);
+		t.equal(maxEjectedCount, limit, `${count} hosts`);
 		t.not(choose(router, 30_000), null);
 	}
 });
 
-t.test('the share of the cap is a setting of the router', async t => {
+t.test('the limit is a router option', async t => {
 	const {router} = setUp(10, {maxEjectedShare: 0.2});
 	for (let nowMs = 0; nowMs < 5000; nowMs += 10) {
-		fail(router, nowMs);
+		sendFailingRequest(router, nowMs);
 	}
 
-	t.equal(asideOf(router).length, 2);
+	t.equal(ejectedHostIds(router).length, 2);
 });
 
-// Five of ten hosts are aside; then an operator drains the five others. All
-// that remain are aside, and callers wait though the hosts may be well again.
-t.test('the cap holds when healthy hosts leave', async t => {
+// Five of ten hosts are ejected; then an operator drains the other five. All remaining
+// hosts are ejected, and callers wait although the hosts may have recovered.
+t.test('the limit holds when healthy hosts leave', async t => {
 	const {catalog, router} = setUp(10);
-	for (let nowMs = 0; asideOf(router).length < 5; nowMs += 10) {
-		fail(router, nowMs);
+	for (let nowMs = 0; ejectedHostIds(router).length < 5; nowMs += 10) {
+		sendFailingRequest(router, nowMs);
 	}
 
-	const aside = asideOf(router);
+	const ejected = ejectedHostIds(router);
 	for (const [hostId, record] of Object.entries(catalog.hosts)) {
-		catalog.hosts[hostId] = aside.includes(hostId) ? record : {...record, status: 'draining'};
+		catalog.hosts[hostId] = ejected.includes(hostId) ? record : {...record, status: 'draining'};
 	}
 
 	updateRouter(router, catalog, null, 1000);
 	tickRouter(router, 1000);
-	t.equal(asideOf(router).length, 2, 'two of five');
-	t.ok(aside.includes(choose(router, 1000)!));
+	t.equal(ejectedHostIds(router).length, 2, 'two of five');
+	t.ok(ejected.includes(choose(router, 1000)!));
 });
 
-t.test('the cap holds after each tick of any schedule', async t => {
+t.test('the limit holds after each tick of any schedule', async t => {
 	const stepArbitrary = fc.oneof(
 		{weight: 8, arbitrary: fc.constant<'fail'>('fail')},
 		{weight: 1, arbitrary: fc.record({hostId: fc.nat(11), isServing: fc.boolean()})},
@@ -103,7 +103,7 @@
 		for (const [index, step] of steps.entries()) {
 			const nowMs = index * 50;
 			if (step === 'fail') {
-				fail(router, nowMs);
+				sendFailingRequest(router, nowMs);
 			} else {
 				const hostId = `h${step.hostId}`;
 				catalog.hosts[hostId] = {...recordOf(hostId), status: step.isServing ? 'serving' : 'draining'};
@@ -112,9 +112,9 @@
 
 			tickRouter(router, nowMs + 2);
 			const serving = Object.values(catalog.hosts).filter(({status}) => status === 'serving').length;
-			const most = serving < 2 ? 0 : Math.max(1, Math.floor(serving / 2));
-			if (asideOf(router).length > most) {
-				throw new Error(`${asideOf(router).length} of ${serving} aside at step ${index}`);
+			const limit = serving < 2 ? 0 : Math.max(1, Math.floor(serving / 2));
+			if (ejectedHostIds(router).length > limit) {
+				throw new Error(`${ejectedHostIds(router).length} of ${serving} ejected at step ${index}`);
 			}
 		}
 	}), {seed: 40_042, numRuns: 100});
--- a/packages/coordination/test/event-gate.test.ts
+++ b/packages/coordination/test/event-gate.test.ts
@@ -4,10 +4,10 @@
 
 const stream = 'data: one\n\ndata: two\n\ndata: [DONE]\n\n';
 
-// Callers stop reading at [DONE]. However the bytes are split on their way, it
-// must not pass before the answer's end marker has been checked, and no byte
-// may be lost or change its place.
-t.test('the end of a stream is held back however the bytes are split', async t => {
+// Callers stop reading at [DONE]. However the bytes are split into chunks, [DONE] must
+// not be forwarded before the answer's end marker has been checked, and no byte may
+// be lost or reordered.
+t.test('the end of a stream is withheld however the bytes are split', async t => {
 	for (let size = 1; size <= stream.length; size++) {
 		const gate = createEventGate();
 		let passed = '';
@@ -20,7 +20,7 @@
 	}
 });
 
-t.test('events with other line ends pass too, and a huge one is not held for ever', async t => {
+t.test('events with CRLF line ends are forwarded, and a very large event is not withheld', async t => {
 	const gate = createEventGate();
 	t.equal(passEvents(gate, Buffer.from('data: one\r\n\r\ndata: t')).toString(), 'data: one\r\n\r\n');
 	t.equal(passEvents(gate, Buffer.alloc(100_000, 'x')).length, 100_007);
--- a/packages/coordination/test/host-numbers.test.ts
+++ b/packages/coordination/test/host-numbers.test.ts
@@ -36,10 +36,10 @@
 	noteEnd(router, hostId, {outcome, hadFirstByte: false}, nowMs);
 };
 
-// Callers get other endpoints although a new one is idle. A host that failed
-// leaves; a new one comes and is given the numbers that it had. If they weren't
-// cleared, the new host would pay for the failures of the old one.
-t.test('a new host inherits nothing from the one that left', async t => {
+// A host that failed is removed, and a new host reuses its slot in the array of
+// numbers. If the slot were not cleared, the failures of the old host would count
+// against the new one, and requests would avoid it although it is idle.
+t.test('a new host inherits nothing from a removed one', async t => {
 	const {catalog, router} = setUp(4);
 	for (let index = 0; index < 3; index++) {
 		noteStart(router, 'h1', index);
@@ -51,18 +51,18 @@
 	updateRouter(router, catalog, null, 30);
 	addHost(catalog, 'fresh');
 	updateRouter(router, catalog, null, 40);
-	let drawn = 0;
+	let chosenCount = 0;
 	for (let index = 0; index < 400; index++) {
 		const choice = chooseEndpoint(router, {target: {type: 'model', modelId: 'm'}, tried: new Set(['h0', 'h2'])}, 50);
-		drawn += choice.type === 'chosen' && choice.endpoint.hostId === 'fresh' ? 1 : 0;
+		chosenCount += choice.type === 'chosen' && choice.endpoint.hostId === 'fresh' ? 1 : 0;
 	}
 
-	t.ok(drawn > 150 && drawn < 250, `of two equal hosts each is drawn as often: ${drawn} of 400`);
+	t.ok(chosenCount > 150 && chosenCount < 250, `two equal hosts are chosen equally often: ${chosenCount} of 400`);
 });
 
-// A host's requests are counted for another. Hosts come and go while requests
-// run, the array of numbers grows and its lines and the places of start times are used again.
-t.test('each host keeps its own requests while others come and go', async t => {
+// Hosts join and leave while requests run, the array of numbers grows, and its slots
+// and the indexes of start times are reused. A host's requests must not be counted for another host.
+t.test('each host keeps its own requests while other hosts join and leave', async t => {
 	const {catalog, router} = setUp(50);
 	const random = createRandom(20_261);
 	const expected = new Map<string, number>();
@@ -95,9 +95,9 @@
 	t.same(hostIds.map(id => estimatedLoad(router, id, 4000)), hostIds.map(id => expected.get(id) ?? 0));
 });
 
-// A report tells an entry's own requests for those of others. It was made
-// between two of the entry's starts, after an earlier request had ended.
-t.test('a report is compared with the starts before it', async t => {
+// A load report is made between two of the entry's starts, after an earlier request had
+// ended. The entry's own requests must not be counted as those of other entries.
+t.test('a load report is compared with the earlier starts', async t => {
 	const {router} = setUp(2);
 	for (const atMs of [10, 20, 30, 40]) {
 		noteStart(router, 'h0', atMs);
@@ -106,7 +106,7 @@
 
 	finish(router, 'h0', {type: 'cancelled'}, 45);
 	noteLoadReport(router, 'h0', {running: 3, ageMs: 15}, 50);
-	t.equal(estimatedLoad(router, 'h0', 50), 4, 'of three that ran at 35, one is of others');
+	t.equal(estimatedLoad(router, 'h0', 50), 4, 'of three that ran at 35, one belongs to another entry');
 	noteLoadReport(router, 'h1', {running: 4, ageMs: 5}, 50);
-	t.equal(estimatedLoad(router, 'h1', 50), 4, 'all four are its own');
+	t.equal(estimatedLoad(router, 'h1', 50), 4, 'all four belong to this entry');
 });
--- a/packages/coordination/test/router.test.ts
+++ b/packages/coordination/test/router.test.ts
@@ -34,8 +34,8 @@
 	return catalog;
 };
 
-const manyHosts = (count: number, specOf: (index: number) => HostSpec = () => ({})): Record<string, HostSpec> => {
-	const entries = Array.from({length: count}, (_, index): [string, HostSpec] => [`h${index}`, specOf(index)]);
+const manyHosts = (count: number, createSpec: (index: number) => HostSpec = () => ({})): Record<string, HostSpec> => {
+	const entries = Array.from({length: count}, (_, index): [string, HostSpec] => [`h${index}`, createSpec(index)]);
 	return Object.fromEntries(entries);
 };
 
@@ -48,22 +48,22 @@
 	return {catalog, router};
 };
 
-const ask: ChooseOptions = {target: {type: 'model', modelId: 'm'}, tried: new Set()};
+const chooseOptions: ChooseOptions = {target: {type: 'model', modelId: 'm'}, tried: new Set()};
 
 const choose = (router: RouterState, nowMs: number, more: Partial<ChooseOptions> = {}): string | null => {
-	const choice = chooseEndpoint(router, {...ask, ...more}, nowMs);
+	const choice = chooseEndpoint(router, {...chooseOptions, ...more}, nowMs);
 	return choice.type === 'chosen' ? choice.endpoint.hostId : null;
 };
 
-const end = (router: RouterState, hostId: string, outcome: RequestOutcome, nowMs: number): void => {
+const endRequest = (router: RouterState, hostId: string, outcome: RequestOutcome, nowMs: number): void => {
 	noteEnd(router, hostId, {outcome, hadFirstByte: false}, nowMs);
 };
 
 const answered: RequestOutcome = {type: 'answered', latencyMs: 50};
 const failed: RequestOutcome = {type: 'failed'};
 
-/** Sends one request after the other each `stepMs`; returns how many each host got. */
-const run = (router: RouterState, count: number, outcomeOf: (hostId: string) => RequestOutcome | null, {startMs = 0, stepMs = 10} = {}): Map<string, number> => {
+/** Sends one request every `stepMs`; returns the number of requests per host. */
+const sendRequests = (router: RouterState, count: number, outcomeOf: (hostId: string) => RequestOutcome | null, {startMs = 0, stepMs = 10} = {}): Map<string, number> => {
 	const counts = new Map<string, number>();
 	for (let index = 0; index < count; index++) {
 		const nowMs = startMs + (index * stepMs);
@@ -77,7 +77,7 @@
 		noteStart(router, hostId, nowMs);
 		const outcome = outcomeOf(hostId);
 		if (outcome !== null) {
-			end(router, hostId, outcome, nowMs + 1);
+			endRequest(router, hostId, outcome, nowMs + 1);
 		}
 	}
 
@@ -93,7 +93,7 @@
 	return sum;
 };
 
-t.test('a full host is never chosen, and all full says so', async t => {
+t.test('a full host is never chosen, and the result is busy when all are full', async t => {
 	const {router} = setUp(manyHosts(3));
 	for (let index = 0; index < 12; index++) {
 		const hostId = choose(router, index)!;
@@ -101,38 +101,38 @@
 		noteStart(router, hostId, index);
 	}
 
-	t.equal(chooseEndpoint(router, ask, 20).type, 'busy');
-	t.notOk(hasRoom(router, ask.target));
-	end(router, 'h1', answered, 21);
+	t.equal(chooseEndpoint(router, chooseOptions, 20).type, 'busy');
+	t.notOk(hasRoom(router, chooseOptions.target));
+	endRequest(router, 'h1', answered, 21);
 	t.equal(choose(router, 22), 'h1');
-	t.equal(choose(router, 22, {tried: new Set(['h1'])}), null, 'what was tried is not tried again');
+	t.equal(choose(router, 22, {tried: new Set(['h1'])}), null, 'a tried host is not chosen again');
 });
 
-// A version is rolled: hosts leave the group one by one, and a drained one must
-// get nothing from the very update on, while what runs on it still counts.
-t.test('follows the catalog by the changed hosts alone', async t => {
+// During a rollout hosts leave the group one by one. A drained host must get no requests
+// as soon as its update is applied, while its running requests still count.
+t.test('an update applies only to the changed hosts', async t => {
 	const {catalog, router} = setUp(manyHosts(4));
 	noteStart(router, 'h0', 1);
 	catalog.hosts.h0 = {...catalog.hosts.h0!, status: 'draining'};
 	catalog.hosts.h1 = {...catalog.hosts.h1!, readyVersionId: 'm:v2'};
 	updateRouter(router, catalog, changedHostIds([{type: 'replicasChanged', readiness: [{hostId: 'h1', incarnation: 1, versionId: 'm:v2'}] as never}]), 2);
-	t.ok(run(router, 60, () => answered).has('h0'), 'h0 was not among the changed ones');
+	t.ok(sendRequests(router, 60, () => answered).has('h0'), 'h0 was not among the changed ones');
 	updateRouter(router, catalog, null, 3);
-	const counts = run(router, 60, () => answered);
+	const counts = sendRequests(router, 60, () => answered);
 	t.same([...counts.keys()].toSorted(), ['h2', 'h3']);
 	t.equal(inFlightOn(router, 'h0'), 1);
 	catalog.fleets.f = {...catalog.fleets.f!, versionId: 'm:v2'};
 	updateRouter(router, catalog, new Set(), 4);
-	t.same([...run(router, 20, () => answered).keys()], ['h1'], 'the version in force as soon as one host has it');
+	t.same([...sendRequests(router, 20, () => answered).keys()], ['h1'], 'the version in force is used as soon as one host serves it');
 	const {h1, ...others} = catalog.hosts;
 	catalog.hosts = others;
 	updateRouter(router, catalog, null, 5);
-	t.same([...run(router, 60, () => answered).keys()].toSorted(), ['h2', 'h3'], 'while none has it, the version before');
+	t.same([...sendRequests(router, 60, () => answered).keys()].toSorted(), ['h2', 'h3'], 'the previous version is used while no host serves the version in force');
 });
 
-// Callers of the entry's own hall wait in its queues while the hall next door
-// idles: the spill-over started only when the local hosts were full.
-t.test('requests spill to the next zone before the own one is full', async t => {
+// If requests spilled over only when all local hosts are full, callers in the entry's
+// own zone would wait in its queues while the neighbouring zone is idle.
+t.test('requests spill over to the next zone before the entry\'s own zone is full', async t => {
 	const {router} = setUp({...manyHosts(4), far: {zone: 'z9', region: 'r9', capacity: 100}, near: {zone: 'z2', capacity: 4}});
 	const starts: string[] = [];
 	for (let index = 0; index < 20; index++) {
@@ -141,24 +141,24 @@
 		noteStart(router, hostId, index);
 	}
 
-	t.ok(starts.slice(0, 13).every(id => id.startsWith('h')), 'local below the share');
+	t.ok(starts.slice(0, 13).every(id => id.startsWith('h')), 'local below the spill threshold');
 	t.equal(starts[13], 'near');
-	t.ok(starts.includes('far'), 'further away once the region is loaded too');
-	t.equal(starts.filter(id => id.startsWith('h')).length, 13, 'the rest of the own zone stays free as long as others have room');
+	t.ok(starts.includes('far'), 'another region once the own region is loaded too');
+	t.equal(starts.filter(id => id.startsWith('h')).length, 13, 'the remainder of the own zone stays free as long as other zones have spare slots');
 });
 
-// The host that refuses at once is always idle. Chosen by least load it gets
-// nearly all requests, and nearly all fail.
-t.test('a host that fails fast does not draw the requests', async t => {
+// A host that fails immediately is always idle. If hosts were chosen by load alone, it
+// would get nearly all requests, and nearly all would fail.
+t.test('a host that fails fast does not attract the requests', async t => {
 	const {router} = setUp(manyHosts(8));
-	const counts = run(router, 1000, hostId => hostId === 'h3' ? failed : answered);
+	const counts = sendRequests(router, 1000, hostId => hostId === 'h3' ? failed : answered);
 	t.ok(counts.get('h3')! <= 10, `${counts.get('h3')} of 1,000 requests in 10 s`);
 });
 
-// A host accepts and never answers. No request fails on it before the caller's
-// deadline, so by failures alone it takes as many requests as it has room for,
-// again and again. Its silence must show first.
-t.test('a silent host is ejected by its silence', async t => {
+// A host accepts requests and never answers. No request fails before the caller's
+// deadline, so if only failures counted, the host would be filled with requests again and
+// again. The missing first bytes must eject it earlier.
+t.test('a host that sends no first byte is ejected', async t => {
 	const {router} = setUp(manyHosts(8, () => ({capacity: 100})));
 	for (const hostId of [...router.hosts.keys()].filter(id => id !== 'h3')) {
 		for (let index = 0; index < 50; index++) {
@@ -167,13 +167,13 @@
 		}
 	}
 
-	const counts = run(router, 1000, hostId => hostId === 'h3' ? null : answered, {stepMs: 50});
+	const counts = sendRequests(router, 1000, hostId => hostId === 'h3' ? null : answered, {stepMs: 50});
 	t.ok(counts.get('h3')! <= 20, `${counts.get('h3')} of 1,000 requests in 50 s, while it looks half as loaded as the others`);
 	t.ok(counts.size === 8);
 });
 
-// A host answers, but twenty times slower than its peers.
-t.test('a slow host is ejected by its latency', async t => {
+// A host answers, but 40 times slower than its peers.
+t.test('a slow host is ejected because of its latency', async t => {
 	const {router} = setUp(manyHosts(8));
 	const notices: string[] = [];
 	for (let index = 0; index < 1000; index++) {
@@ -188,26 +188,26 @@
 	t.notOk(notices.some(notice => notice.includes('latency') && !notice.startsWith('h3')));
 });
 
-// The entry's own network is bad for a moment: every request fails everywhere.
-// Ejecting on that signal would leave no endpoint, or all load on a few.
-t.test('a bad signal does not eject everybody', async t => {
+// The entry's own network fails briefly, and every request fails on every host. Ejecting
+// hosts because of this would leave no endpoint, or the entire load on a few.
+t.test('a failure of all requests does not eject all hosts', async t => {
 	const {router} = setUp(manyHosts(10));
-	run(router, 200, () => failed);
-	const counts = run(router, 400, () => answered, {startMs: 2100});
+	sendRequests(router, 200, () => failed);
+	const counts = sendRequests(router, 400, () => answered, {startMs: 2100});
 	t.equal(counts.size, 10);
-	t.ok(Math.max(...counts.values()) < 100, `heaviest ${Math.max(...counts.values())} of 400`);
+	t.ok(Math.max(...counts.values()) < 100, `most loaded host: ${Math.max(...counts.values())} of 400`);
 });
 
 t.test('the only endpoint is never ejected', async t => {
 	const {router} = setUp(manyHosts(1));
-	run(router, 50, () => failed);
+	sendRequests(router, 50, () => failed);
 	t.equal(choose(router, 1000), 'h0');
 });
 
-// One of three halls is gone. Its hosts fail together; until each has failed
-// three times, requests are lost on them. The rest must take over, and nothing
-// but single probes goes to the lost hall.
-t.test('a hall that is gone is left at once', async t => {
+// One of three availability zones fails, and all of its hosts with it. If each host had
+// to fail three times first, many requests would be lost. The remaining zones must take
+// over, and only single trial requests may go to the failed zone.
+t.test('a failed availability zone is avoided immediately', async t => {
 	const {router} = setUp(manyHosts(90, index => ({zone: `z${index % 3}`, capacity: 16})), {zoneId: 'entry-zone', minimumPerTier: 90});
 	for (let round = 0; round < 8; round++) {
 		for (const hostId of router.hosts.keys()) {
@@ -216,16 +216,16 @@
 		}
 	}
 
-	run(router, 300, () => answered);
+	sendRequests(router, 300, () => answered);
 	const isLost = (hostId: string): boolean => Number(hostId.slice(1)) % 3 === 2;
-	const counts = run(router, 1000, hostId => isLost(hostId) ? failed : answered, {startMs: 3000, stepMs: 4});
+	const counts = sendRequests(router, 1000, hostId => isLost(hostId) ? failed : answered, {startMs: 3000, stepMs: 4});
 	t.ok(sumOf(counts, isLost) <= 40, `${sumOf(counts, isLost)} of 1,000 requests to 30 lost hosts`);
 	t.ok(sumOf(counts, hostId => !isLost(hostId)) >= 960);
 });
 
-// An ejected host comes back healthy. It must not be flooded, and one failure
-// more must send it away for longer.
-t.test('an ejected host comes back on trial, each time later', async t => {
+// An ejected host is readmitted after it has recovered. It must not be flooded with
+// requests, and one further failure must eject it again, each time for longer.
+t.test('an ejected host is readmitted on probation, each time after a longer ejection', async t => {
 	const {router} = setUp(manyHosts(4));
 	const ejectedUntil: number[] = [];
 	for (let nowMs = 0; nowMs < 60_000; nowMs += 10) {
@@ -237,15 +237,15 @@
 
 		const hostId = choose(router, nowMs)!;
 		noteStart(router, hostId, nowMs);
-		end(router, hostId, hostId === 'h2' ? failed : answered, nowMs + 1);
+		endRequest(router, hostId, hostId === 'h2' ? failed : answered, nowMs + 1);
 	}
 
 	t.same(ejectedUntil.map(ms => Math.round(ms / 5000)), [1, 2, 4, 8]);
 });
 
-// A report says "idle", but it is a second old and this entry has sent four
-// requests since. Taken at its word, the host is flooded until the next report.
-t.test('old reports are corrected by what was sent since, and fade', async t => {
+// A report says that a host is idle, but it is a second old and this entry has sent four
+// requests since. If it were used unchanged, the host would be overloaded until the next report.
+t.test('old reports are corrected by later requests, and decay', async t => {
 	const {router} = setUp(manyHosts(2, () => ({capacity: 16})));
 	noteStart(router, 'h0', 0);
 	for (let index = 0; index < 4; index++) {
@@ -253,49 +253,49 @@
 	}
 
 	noteLoadReport(router, 'h0', {running: 3, ageMs: 600}, 1500);
-	t.equal(estimatedLoad(router, 'h0', 1500), 7, 'five of its own, and two of others: three ran, one of them its own');
+	t.equal(estimatedLoad(router, 'h0', 1500), 7, 'five requests of this entry and two of others: three were running, one of them from this entry');
 	noteLoadReport(router, 'h0', {running: 16, ageMs: 900}, 1510);
-	t.equal(estimatedLoad(router, 'h0', 1510), 7, 'an older report that comes late changes nothing');
+	t.equal(estimatedLoad(router, 'h0', 1510), 7, 'a delayed older report changes nothing');
 	noteLoadReport(router, 'h1', {running: 16, ageMs: 0}, 1600);
 	t.equal(choose(router, 1600), 'h0', 'h1 is full');
 	tickRouter(router, 9000);
 	t.ok(estimatedLoad(router, 'h1', 9000) <= 2);
-	t.ok(new Set(Array.from({length: 20}, () => choose(router, 9000))).has('h1'), 'it is asked again');
+	t.ok(new Set(Array.from({length: 20}, () => choose(router, 9000))).has('h1'), 'h1 is chosen again');
 });
 
-// Others' four requests end, this entry starts four, and then a report from
-// before all that comes in. By sum the host runs eight of four. When one of the
-// four ends, its place stays empty while callers wait, until the report fades.
-t.test('an answer frees its place, whatever an old report says', async t => {
+// Four requests of other entries end, this entry starts four, and then a report from
+// before all of that arrives: the estimate is eight running requests on four slots. When one
+// of the four ends, its slot would stay unused while callers wait, until the report has decayed.
+t.test('an answer frees its slot regardless of an old report', async t => {
 	const {router} = setUp(manyHosts(1));
 	for (let index = 0; index < 4; index++) {
 		noteStart(router, 'h0', 300);
 	}
 
 	noteLoadReport(router, 'h0', {running: 4, ageMs: 200}, 400);
-	t.equal(chooseEndpoint(router, ask, 450).type, 'busy');
-	end(router, 'h0', answered, 500);
+	t.equal(chooseEndpoint(router, chooseOptions, 450).type, 'busy');
+	endRequest(router, 'h0', answered, 500);
 	t.equal(choose(router, 500), 'h0');
 	noteStart(router, 'h0', 500);
-	t.equal(chooseEndpoint(router, ask, 501).type, 'busy', 'one place, not more');
+	t.equal(chooseEndpoint(router, chooseOptions, 501).type, 'busy', 'exactly one slot is free');
 });
 
-t.test('hosts whose load is not known are probed, not more than once a second', async t => {
+t.test('hosts whose load is unknown are probed at most once per second', async t => {
 	const {router} = setUp(manyHosts(2));
-	t.match(chooseEndpoint(router, ask, 100), {type: 'chosen', probes: []}, 'a lone entry knows all there is');
+	t.match(chooseEndpoint(router, chooseOptions, 100), {type: 'chosen', probes: []}, 'a single entry knows the entire load');
 	setEntries(router, ['e1', 'e2'], 100);
 	const probed: string[] = [];
 	for (let nowMs = 100; nowMs < 1100; nowMs += 10) {
-		const choice = chooseEndpoint(router, ask, nowMs);
+		const choice = chooseEndpoint(router, chooseOptions, nowMs);
 		probed.push(...(choice.type === 'chosen' ? choice.probes.map(endpoint => endpoint.hostId) : []));
 	}
 
 	t.same(probed.toSorted(), ['h0', 'h1']);
 });
 
-// A replica that has just become ready is idle, so least load sends it a
-// burst, which it meets with cold caches.
-t.test('a fresh replica starts slowly', async t => {
+// A replica that has just become ready is idle. If hosts were chosen by load alone, it
+// would get a burst of requests while its caches are cold.
+t.test('a new replica ramps up slowly', async t => {
 	const {catalog, router} = setUp(manyHosts(8, () => ({capacity: 16})));
 	for (let index = 0; index < 40; index++) {
 		noteStart(router, choose(router, index)!, index);
@@ -315,9 +315,10 @@
 	t.ok(inFlightOn(router, 'fresh') >= 4, `${inFlightOn(router, 'fresh')} once it is warm`);
 });
 
-// Many callers share one long prompt. All on one host, it collapses while
-// others idle; spread over all, every host computes the prefix anew.
-t.test('a prefix keeps its host until that one is loaded above the others', async t => {
+// Many callers share one long prompt prefix. If all went to one host, it would be
+// overloaded while others are idle; if they were spread over all hosts, every host
+// would have to compute the prefix.
+t.test('a prefix stays on its host until that host is loaded more than the others', async t => {
 	const {router} = setUp(manyHosts(10, () => ({capacity: 8})));
 	const owner = choose(router, 0, {prefixKey: 'menu'})!;
 	for (let index = 0; index < 50; index++) {
@@ -334,9 +335,10 @@
 	t.ok(counts.get(owner)! >= 4 && counts.get(owner)! <= 6, `${counts.get(owner)} of 40 on the owner, of 8 at most`);
 });
 
-// 12,000 hosts and 330 entries: every host must be known to some entries, or
-// it idles; and when an entry goes, only its own hosts may move.
-t.test('subsets cover every host, evenly, and move little', async t => {
+// With 12,000 hosts and 330 entries (here a tenth of each), every host must be in the
+// subsets of some entries; otherwise it would be idle. When an entry leaves, only its
+// own hosts may move.
+t.test('subsets cover every host evenly and change little', async t => {
 	const hosts = manyHosts(1200, index => ({zone: `z${index % 31}`, region: `r${index % 9}`}));
 	const entries = Array.from({length: 33}, (_, index) => `e${index}`);
 	const subsetsOf = (names: readonly string[]): Map<string, Set<string>> => new Map(names.map(entryId => {
@@ -358,7 +360,7 @@
 
 	const sizes = [...before.values()].map(subset => subset.size);
 	t.equal(coverage.size, 1200);
-	t.ok(Math.min(...coverage.values()) >= 4, 'at least four entries know each host');
+	t.ok(Math.min(...coverage.values()) >= 4, 'each host is in the subsets of at least four entries');
 	t.ok(Math.max(...sizes) < 220 && Math.min(...sizes) > 100, `subsets from ${Math.min(...sizes)} to ${Math.max(...sizes)}`);
 	const after = subsetsOf(entries.slice(1));
 	let moved = 0;
@@ -366,5 +368,5 @@
 		moved += [...subset].filter(id => !before.get(entryId)!.has(id)).length;
 	}
 
-	t.ok(moved <= before.get('e0')!.size, `${moved} connections are new, the lost entry held ${before.get('e0')!.size}`);
+	t.ok(moved <= before.get('e0')!.size, `${moved} new connections, the removed entry had ${before.get('e0')!.size}`);
 });
--- a/packages/coordination/test/share-world.ts
+++ b/packages/coordination/test/share-world.ts
@@ -2,7 +2,7 @@
 	answerShareRequest, createEntryShares, createRandom, setTeamRates, shareOf, takeEntries, takeShareAnswer, tickShares, type EntryShares, type Random, type ShareRequest, type TeamUsage,
 } from '@bitternpaddle/coordination';
 
-/** Tokens a second of the one team over all entries. */
+/** Fleet-wide rate of the only team, in tokens per second. */
 export const rate = 900;
 const leaseMs = 2500;
 const stepMs = 100;
@@ -12,65 +12,65 @@
 	readonly shares: EntryShares;
 	offered: number;
 	demand: number;
-	heardAtMs: number;
-	isCut: boolean;
+	lastSeenAtMs: number;
+	isCutOff: boolean;
 };
 
 type Message = {readonly atMs: number; deliver(): void};
 
-type WorldOptions = {
-	/** Chance in 100 that a message is lost, and that it comes twice. @default 0 */
+type ShareWorldOptions = {
+	/** Probability in percent that a message is lost, and that it is duplicated. @default 0 */
 	readonly lossPercent?: number;
 	/** @default 20 */
-	readonly longestDelayMs?: number;
+	readonly maxDelayMs?: number;
 	readonly seed?: number;
 };
 
 /**
- * Entries, a control that names those it heard within the last 3 s, and messages between them.
- * Keeps the greatest sum that all entries might have let through at once.
+ * Simulates entries, the messages between them, and a control host that lists the
+ * entries seen within the last 3 s. Records the greatest sum of the rates that all entries could have admitted at one time.
  */
-export const createShareWorld = ({lossPercent = 0, longestDelayMs = 20, seed = 1}: WorldOptions = {}) => {
+export const createShareWorld = ({lossPercent = 0, maxDelayMs = 20, seed = 1}: ShareWorldOptions = {}) => {
 	const random: Random = createRandom(seed);
 	const entries = new Map<string, Entry>();
-	const heardAtMs = new Map<string, number>();
+	const lastSeenAtMs = new Map<string, number>();
 	let messages: Message[] = [];
 	let nowMs = 0;
-	let starts = 0;
-	let worst = 0;
-	const dropped = new Set<string>();
+	let startCount = 0;
+	let maxUsage = 0;
+	const droppedLinks = new Set<string>();
 
 	const send = (deliver: () => void): void => {
 		const copies = random.between(1, 100) <= lossPercent ? 0 : (random.between(1, 100) <= lossPercent ? 2 : 1);
 		for (let copy = 0; copy < copies; copy++) {
-			messages.push({atMs: nowMs + random.between(1, longestDelayMs), deliver});
+			messages.push({atMs: nowMs + random.between(1, maxDelayMs), deliver});
 		}
 	};
 
-	const list = (entry: Entry): void => {
-		if (!entry.isCut) {
-			takeEntries(entry.shares, [...heardAtMs].filter(([, atMs]) => nowMs - atMs <= 3000).map(([id]) => id), {askedAtMs: nowMs, nowMs});
+	const sendEntryList = (entry: Entry): void => {
+		if (!entry.isCutOff) {
+			takeEntries(entry.shares, [...lastSeenAtMs].filter(([, atMs]) => nowMs - atMs <= 3000).map(([id]) => id), {askedAtMs: nowMs, nowMs});
 		}
 	};
 
-	/** What this entry lets through; without its lease it refuses all. */
-	const spends = ({id, shares, heardAtMs: leasedAtMs}: Entry): number => entries.has(id) && nowMs - leasedAtMs < leaseMs ? shareOf(shares, 't', nowMs) : 0;
+	/** Rate that this entry admits; without a valid lease it refuses all requests. */
+	const admittedRate = ({id, shares, lastSeenAtMs: leaseRenewedAtMs}: Entry): number => entries.has(id) && nowMs - leaseRenewedAtMs < leaseMs ? shareOf(shares, 't', nowMs) : 0;
 
 	const exchange = (entry: Entry, to: string, request: ShareRequest): void => {
 		const sentAtMs = nowMs;
 		send(() => {
 			const peer = entries.get(to);
-			if (peer === undefined || dropped.has(`${entry.id}>${to}`)) {
+			if (peer === undefined || droppedLinks.has(`${entry.id}>${to}`)) {
 				return;
 			}
 
 			const answer = answerShareRequest(peer.shares, request, nowMs);
 			if (!answer.isCounted) {
-				list(peer);
+				sendEntryList(peer);
 			}
 
 			send(() => {
-				if (entries.get(entry.id) === entry && !dropped.has(`${to}>${entry.id}`)) {
+				if (entries.get(entry.id) === entry && !droppedLinks.has(`${to}>${entry.id}`)) {
 					takeShareAnswer(entry.shares, to, answer, {sentAtMs, nowMs});
 				}
 			});
@@ -78,13 +78,13 @@
 	};
 
 	const tick = (entry: Entry): void => {
-		if (!entry.isCut) {
-			entry.heardAtMs = nowMs;
-			heardAtMs.set(entry.id, nowMs);
+		if (!entry.isCutOff) {
+			entry.lastSeenAtMs = nowMs;
+			lastSeenAtMs.set(entry.id, nowMs);
 		}
 
 		if (nowMs % 2000 === 0) {
-			list(entry);
+			sendEntryList(entry);
 		}
 
 		entry.offered += entry.demand * stepMs / 1000;
@@ -97,10 +97,10 @@
 	const check = (): void => {
 		let sum = 0;
 		for (const entry of entries.values()) {
-			sum += spends(entry);
+			sum += admittedRate(entry);
 		}
 
-		worst = Math.max(worst, sum / rate);
+		maxUsage = Math.max(maxUsage, sum / rate);
 	};
 
 	const deliverDue = (): void => {
@@ -113,25 +113,25 @@
 	};
 
 	return {
-		dropped,
+		droppedLinks,
 		start(id: string, demand: number): void {
-			const shares = createEntryShares({entryId: id, incarnation: ++starts});
+			const shares = createEntryShares({entryId: id, incarnation: ++startCount});
 			setTeamRates(shares, new Map([['t', rate]]));
 			const entry: Entry = {
-				id, shares, offered: 0, demand, heardAtMs: nowMs, isCut: false,
+				id, shares, offered: 0, demand, lastSeenAtMs: nowMs, isCutOff: false,
 			};
 			entries.set(id, entry);
-			heardAtMs.set(id, nowMs);
-			list(entry);
+			lastSeenAtMs.set(id, nowMs);
+			sendEntryList(entry);
 		},
 		stop(id: string): void {
 			entries.delete(id);
 		},
 		entry: (id: string): Entry => entries.get(id)!,
 		ids: (): string[] => [...entries.keys()],
-		share: (id: string): number => Math.round(spends(entries.get(id)!)),
-		/** Of all times, over the limit. */
-		worst: (): number => worst,
+		share: (id: string): number => Math.round(admittedRate(entries.get(id)!)),
+		/** Greatest sum of admitted rates so far, relative to the limit. */
+		maxUsage: (): number => maxUsage,
 		run(forMs: number): void {
 			const untilMs = nowMs + forMs;
 			while (nowMs < untilMs) {
