--- a/packages/coordination/src/admission/admission.ts
+++ b/packages/coordination/src/admission/admission.ts
@@ -87,15 +87,15 @@
 	const ratePerSecond = rates?.get(teamId) ?? equalRate;
 	// Loans change the rate but not the burst, so the total burst over all entries stays constant.
 	const burst = equalRate * burstSeconds;
-	const known = state.teams.get(teamId)?.bucket ?? null;
-	if (known === null) {
+	const existing = state.teams.get(teamId)?.bucket ?? null;
+	if (existing === null) {
 		const bucket = createTokenBucket({ratePerSecond, burst, nowMs});
 		bucket.level = startsEmpty ? 0 : burst;
 		return bucket;
 	}
 
-	setBucketRate(known, ratePerSecond, burst, nowMs);
-	return known;
+	setBucketRate(existing, ratePerSecond, burst, nowMs);
+	return existing;
 };
 
 const weightOf = (state: AdmissionState, teamId: string): number => state.teams.get(teamId)?.weight ?? 1;
@@ -166,8 +166,8 @@
 		return refuse(request.requestId, 'targetQueueFull', waitMs);
 	}
 
-	// Dynamic threshold: a team may queue at most as many requests as there are free places. However large
-	// a burst is, the next team still finds free places and no queued request has to be evicted.
+	// Dynamic threshold: a team may queue at most as many requests as the queue has free capacity. However
+	// large a burst is, the next team still finds free capacity and no queued request has to be evicted.
 	const free = state.options.maxQueuedPerTarget - queue.count;
 	if (team.count >= Math.min(state.options.maxQueuedPerTeam, free)) {
 		return refuse(request.requestId, 'teamQueueFull', waitMs);
@@ -237,12 +237,12 @@
 	state.requests.delete(requestId);
 };
 
-export type Finish = {
+export type FinishOptions = {
 	/** The endpoint executed the request, so its duration counts towards the service rate. */
 	readonly hasRun: boolean;
 };
 
-export const finishRequest = (state: AdmissionState, requestId: string, {hasRun}: Finish, nowMs: number): void => {
+export const finishRequest = (state: AdmissionState, requestId: string, {hasRun}: FinishOptions, nowMs: number): void => {
 	const item = state.requests.get(requestId);
 	if (item?.state !== 'taken') {
 		return;
--- a/packages/coordination/src/admission/entry-shares.ts
+++ b/packages/coordination/src/admission/entry-shares.ts
@@ -255,8 +255,8 @@
 	const shortfall = new Map<string, number>();
 	for (const [teamId, {rate, demand}] of state.needs) {
 		// A negative shortfall means that less is borrowed from now on. Without demand the entry's own share is enough.
-		const wanted = demand < 1 ? 0 : rate;
-		shortfall.set(teamId, wanted - shareOf(state, teamId, nowMs));
+		const neededRate = demand < 1 ? 0 : rate;
+		shortfall.set(teamId, neededRate - shareOf(state, teamId, nowMs));
 	}
 
 	const plan = planLoans(state.loans, {
--- a/packages/coordination/src/admission/loans.ts
+++ b/packages/coordination/src/admission/loans.ts
@@ -84,12 +84,12 @@
  */
 export const grantLoans = ({lent}: Loans, {entryId, incarnation, number, taken, wants}: LoanRequest, {spareOf, nowMs, untilMs}: Lending): Record<string, number> => {
 	const key = `${entryId}/${incarnation}`;
-	const known = lent.get(key) ?? [];
-	if (known.some(grant => grant.number >= number)) {
+	const existingGrants = lent.get(key) ?? [];
+	if (existingGrants.some(grant => grant.number >= number)) {
 		return {};
 	}
 
-	const grants = known.filter(grant => grant.untilMs > nowMs && grant.number >= taken);
+	const grants = existingGrants.filter(grant => grant.untilMs > nowMs && grant.number >= taken);
 	lent.set(key, grants);
 	const rates: Record<string, number> = {};
 	for (const [teamId, requestedRate] of Object.entries(wants)) {
--- a/packages/coordination/src/door/request-gate.ts
+++ b/packages/coordination/src/door/request-gate.ts
@@ -10,7 +10,7 @@
 	/** Highest evicted sequence number of each sender. */
 	readonly highestForgotten: Map<string, number>;
 	readonly capacity: number;
-	readonly keptRecords: number;
+	readonly maxRetainedRecords: number;
 	readonly maxRetainedSenders: number;
 	/** Incarnation of this agent; increases with every start. */
 	readonly incarnation: number;
@@ -32,13 +32,13 @@
 	readonly capacity: number;
 	readonly incarnation: number;
 	/** Maximum number of ended requests whose records are retained. @default 10000 */
-	readonly keptRecords?: number;
+	readonly maxRetainedRecords?: number;
 	/** Maximum number of senders whose highest evicted sequence number is retained. @default 1024 */
 	readonly maxRetainedSenders?: number;
 };
 
-export const createDoor = ({capacity, incarnation, keptRecords = 10_000, maxRetainedSenders = 1024}: RequestGateOptions): DoorState => ({
-	records: new Map(), ended: [], highestForgotten: new Map(), capacity, incarnation, keptRecords, maxRetainedSenders, running: 0, isClosing: false,
+export const createDoor = ({capacity, incarnation, maxRetainedRecords = 10_000, maxRetainedSenders = 1024}: RequestGateOptions): DoorState => ({
+	records: new Map(), ended: [], highestForgotten: new Map(), capacity, incarnation, maxRetainedRecords, maxRetainedSenders, running: 0, isClosing: false,
 });
 
 export type DoorRefusal = 'duplicate' | 'forgotten' | 'barred' | 'otherIncarnation' | 'closing' | 'full';
@@ -117,7 +117,7 @@
 
 const recordEnded = (state: DoorState, attemptId: string): void => {
 	state.ended.push(attemptId);
-	while (state.ended.length > state.keptRecords) {
+	while (state.ended.length > state.maxRetainedRecords) {
 		evictRecord(state, state.ended.shift()!);
 	}
 };
--- a/packages/coordination/src/requests/attempt.ts
+++ b/packages/coordination/src/requests/attempt.ts
@@ -96,7 +96,7 @@
 	.with({type: 'settleFailed'}, () => finish(state, mayHaveRun('the connection to the host was lost and the outcome could not be queried'), 'lost'))
 	.with({type: 'gaveUp'}, ({cause}) => {
 		state.givenUp = cause;
-		return settle(state);
+		return resolveOutcome(state);
 	})
 	.exhaustive();
 
@@ -117,10 +117,10 @@
 	}
 
 	// Once the answer has begun it is certain that the request was started.
-	return state.phase === 'answering' ? resume(state) : settle(state);
+	return state.phase === 'answering' ? resume(state) : resolveOutcome(state);
 };
 
-const settle = (state: AttemptState): AttemptEffect => {
+const resolveOutcome = (state: AttemptState): AttemptEffect => {
 	state.phase = 'settling';
 	return {type: 'settle', isCancel: state.givenUp !== null};
 };
--- a/packages/coordination/test/admission.test.ts
+++ b/packages/coordination/test/admission.test.ts
@@ -58,7 +58,7 @@
 
 // A large team sends more requests than the queue holds, and a small team that has
 // sent nothing is refused because the queue is full. The limit must shrink for
-// the team that holds most, so that the next team always finds free places.
+// the team that holds most, so that the queue always has free capacity for the next team.
 t.test('a flooded queue still accepts requests of another team', async t => {
 	const state = setUp({large: 1, small: 1}, {maxQueuedPerTarget: 100});
 	t.equal(offerRequests(state, 'large', 1000), 50);
--- a/packages/coordination/test/request-gate.test.ts
+++ b/packages/coordination/test/request-gate.test.ts
@@ -45,7 +45,7 @@
 // and then the delayed request arrives. It must not start, and resolving it again
 // must return "unknown".
 t.test('an evicted bar does not let a late request start', async t => {
-	const gate = createDoor({capacity: 1, incarnation: 7, keptRecords: 3});
+	const gate = createDoor({capacity: 1, incarnation: 7, maxRetainedRecords: 3});
 	t.equal(settleAtDoor(gate, request('late', 1)), 'notRun');
 	for (let sequence = 2; sequence <= 5; sequence++) {
 		admitAtDoor(gate, request(`r${sequence}`, sequence));
@@ -61,7 +61,7 @@
 // One request hangs at an unresponsive endpoint while about a thousand others run. The
 // number of records must stay bounded, and the hanging request must keep its record.
 t.test('a hanging request does not prevent the eviction of other records', async t => {
-	const gate = createDoor({capacity: 2, incarnation: 7, keptRecords: 10});
+	const gate = createDoor({capacity: 2, incarnation: 7, maxRetainedRecords: 10});
 	admitAtDoor(gate, request('hangs', 1));
 	for (let sequence = 2; sequence <= 1000; sequence++) {
 		admitAtDoor(gate, request(`r${sequence}`, sequence));
