--- a/packages/coordination/src/admission/entry-shares.ts
+++ b/packages/coordination/src/admission/entry-shares.ts
@@ -231,7 +231,7 @@
 		return;
 	}
 
-	// By then an entry that does not answer has either learned of this entry from control or lost control and given up its share.
+	// By then an entry that does not answer has either learned of this entry from control or lost contact with control and given up its share.
 	const isOverdue = nowMs - listedSinceMs >= removalDelayMs(options);
 	state.isJoined = [...members.values()].every(({readyAtMs}) => readyAtMs === null ? isOverdue : readyAtMs <= nowMs);
 };
--- a/packages/coordination/src/requests/attempt.ts
+++ b/packages/coordination/src/requests/attempt.ts
@@ -50,7 +50,7 @@
 	/** Part of the answer was forwarded, and the remainder is lost. */
 		| {readonly type: 'broken'; readonly reason: string};
 
-/** Why an attempt brought no answer. */
+/** Why an attempt ended without an answer. */
 export type UnansweredCause
 	/** The endpoint has no spare slots now. */
 	= | 'doorFull'
--- a/packages/coordination/src/routing/router.ts
+++ b/packages/coordination/src/routing/router.ts
@@ -246,7 +246,7 @@
 
 export type RequestEnd = {
 	readonly outcome: RequestOutcome;
-	/** `noteFirstByte` was called for this request. */
+	/** The first byte of this request's answer was recorded. */
 	readonly hadFirstByte: boolean;
 };
 
