--- a/packages/coordination/src/door/index.ts
+++ b/packages/coordination/src/door/index.ts
@@ -1,2 +1,2 @@
-export * from './request-gate.js';
+export * from './door.js';
 export * from './supervise.js';
