--- a/packages/coordination/src/door/door.ts
+++ b/packages/coordination/src/door/door.ts
@@ -1,65 +1,65 @@
 /**
  * Decides at the agent whether a request may start on the endpoint. An attempt
- * id starts at most once; a settled id that had not started is barred, so that
- * "not run" stays true when the request itself arrives late.
+ * id starts at most once. An id that is resolved before it has started is barred,
+ * so that "not run" stays true if the request itself arrives late.
  */
 export type DoorState = {
-	readonly records: Map<string, DoorEntry>;
-	/** Ids that have ended, in the order of their end; the oldest are forgotten first. */
+	readonly records: Map<string, GateEntry>;
+	/** Ids of ended requests in the order of their end; the oldest are evicted first. */
 	readonly ended: string[];
-	/** For each sender the highest sequence that was forgotten. */
-	readonly horizons: Map<string, number>;
+	/** Highest evicted sequence number of each sender. */
+	readonly highestForgotten: Map<string, number>;
 	readonly capacity: number;
-	readonly keptRecords: number;
-	readonly keptSenders: number;
-	/** Of this agent; grows with every start. */
+	readonly maxRetainedRecords: number;
+	readonly maxRetainedSenders: number;
+	/** Incarnation of this agent; increases with every start. */
 	readonly incarnation: number;
 	running: number;
 	isClosing: boolean;
 };
 
-export type DoorRecord = 'running' | 'ran' | 'notRun';
+export type GateRecord = 'running' | 'ran' | 'notRun';
 
-type DoorEntry = {readonly issue: DoorIssue; readonly record: DoorRecord};
+type GateEntry = {readonly issue: GateIssue; readonly record: GateRecord};
 
-/** Which of one sending process's requests this is. */
-export type DoorIssue = {readonly sender: string; readonly sequence: number};
+/** Identifies a request among those of one sending process. */
+export type GateIssue = {readonly sender: string; readonly sequence: number};
 
-/** A request as the door knows it. */
-export type DoorRequest = {readonly attemptId: string; readonly incarnation: number; readonly issue: DoorIssue};
+/** A request as identified by the gate. */
+export type DoorRequest = {readonly attemptId: string; readonly incarnation: number; readonly issue: GateIssue};
 
-export type DoorOptions = {
+export type RequestGateOptions = {
 	readonly capacity: number;
 	readonly incarnation: number;
-	/** Ended requests that can still be asked about. @default 10000 */
-	readonly keptRecords?: number;
-	/** Senders whose horizon is kept. @default 1024 */
-	readonly keptSenders?: number;
+	/** Maximum number of ended requests whose records are retained. @default 10000 */
+	readonly maxRetainedRecords?: number;
+	/** Maximum number of senders whose highest evicted sequence number is retained. @default 1024 */
+	readonly maxRetainedSenders?: number;
 };
 
-export const createDoor = ({capacity, incarnation, keptRecords = 10_000, keptSenders = 1024}: DoorOptions): DoorState => ({
-	records: new Map(), ended: [], horizons: new Map(), capacity, incarnation, keptRecords, keptSenders, running: 0, isClosing: false,
+export const createDoor = ({capacity, incarnation, maxRetainedRecords = 10_000, maxRetainedSenders = 1024}: RequestGateOptions): DoorState => ({
+	records: new Map(), ended: [], highestForgotten: new Map(), capacity, incarnation, maxRetainedRecords, maxRetainedSenders, running: 0, isClosing: false,
 });
 
 export type DoorRefusal = 'duplicate' | 'forgotten' | 'barred' | 'otherIncarnation' | 'closing' | 'full';
 
-export type Admission
+export type GateDecision
 	= | {readonly type: 'start'}
 		| {readonly type: 'refuse'; readonly reason: DoorRefusal};
 
-export const admitAtDoor = (state: DoorState, request: DoorRequest): Admission => {
+export const admitAtDoor = (state: DoorState, request: DoorRequest): GateDecision => {
 	const {attemptId, incarnation, issue} = request;
 	if (incarnation !== state.incarnation) {
 		return {type: 'refuse', reason: 'otherIncarnation'};
 	}
 
-	const known = state.records.get(attemptId);
-	if (known !== undefined) {
-		return {type: 'refuse', reason: known.record === 'notRun' ? 'barred' : 'duplicate'};
+	const entry = state.records.get(attemptId);
+	if (entry !== undefined) {
+		return {type: 'refuse', reason: entry.record === 'notRun' ? 'barred' : 'duplicate'};
 	}
 
-	// A bar may be among what was forgotten. Without this, a request that was
-	// settled as "not run" and arrives after its bar was dropped would start.
+	// The evicted records may include a bar. Without this check, a request that was
+	// resolved as "not run" and arrives after its bar was evicted would start.
 	if (isForgotten(state, issue)) {
 		return {type: 'refuse', reason: 'forgotten'};
 	}
@@ -77,7 +77,7 @@
 	return {type: 'start'};
 };
 
-/** Ends a started request; `ran` unless the endpoint proved that it never began. */
+/** Records the end of a started request; `ran` unless the endpoint proved that it never began. */
 export const finishAtDoor = (state: DoorState, attemptId: string, outcome: 'ran' | 'notRun'): void => {
 	const entry = state.records.get(attemptId);
 	if (entry?.record !== 'running') {
@@ -86,22 +86,22 @@
 
 	state.running--;
 	state.records.set(attemptId, {...entry, record: outcome});
-	rememberEnded(state, attemptId);
+	recordEnded(state, attemptId);
 };
 
 /**
- * Tells what became of a request, and bars it for good if it has not started.
- * A door of another incarnation, or one that has forgotten, cannot tell: the
- * request may have started where nobody remembers it.
+ * Returns what became of a request and bars it permanently if it has not started.
+ * A gate of another incarnation, or one that has evicted the record, returns
+ * `unknown`: the request may have started without any remaining record of it.
  */
-export const settleAtDoor = (state: DoorState, {attemptId, incarnation, issue}: DoorRequest): DoorRecord | 'unknown' => {
+export const settleAtDoor = (state: DoorState, {attemptId, incarnation, issue}: DoorRequest): GateRecord | 'unknown' => {
 	if (incarnation !== state.incarnation) {
 		return 'unknown';
 	}
 
-	const known = state.records.get(attemptId);
-	if (known !== undefined) {
-		return known.record;
+	const entry = state.records.get(attemptId);
+	if (entry !== undefined) {
+		return entry.record;
 	}
 
 	if (isForgotten(state, issue)) {
@@ -109,29 +109,29 @@
 	}
 
 	state.records.set(attemptId, {issue, record: 'notRun'});
-	rememberEnded(state, attemptId);
+	recordEnded(state, attemptId);
 	return 'notRun';
 };
 
-const isForgotten = ({horizons}: DoorState, {sender, sequence}: DoorIssue): boolean => sequence <= (horizons.get(sender) ?? -1);
+const isForgotten = ({highestForgotten}: DoorState, {sender, sequence}: GateIssue): boolean => sequence <= (highestForgotten.get(sender) ?? -1);
 
-const rememberEnded = (state: DoorState, attemptId: string): void => {
+const recordEnded = (state: DoorState, attemptId: string): void => {
 	state.ended.push(attemptId);
-	while (state.ended.length > state.keptRecords) {
-		forget(state, state.ended.shift()!);
+	while (state.ended.length > state.maxRetainedRecords) {
+		evictRecord(state, state.ended.shift()!);
 	}
 };
 
-const forget = ({records, horizons, keptSenders}: DoorState, attemptId: string): void => {
+const evictRecord = ({records, highestForgotten, maxRetainedSenders}: DoorState, attemptId: string): void => {
 	const {sender, sequence} = records.get(attemptId)!.issue;
 	records.delete(attemptId);
-	const horizon = Math.max(sequence, horizons.get(sender) ?? -1);
-	// Set anew, so that the map's order is that of last use. A sender is a
-	// process: after so many others its own connections are long gone.
-	horizons.delete(sender);
-	horizons.set(sender, horizon);
-	if (horizons.size > keptSenders) {
-		const [oldest] = horizons.keys();
-		horizons.delete(oldest!);
+	const highestSequence = Math.max(sequence, highestForgotten.get(sender) ?? -1);
+	// Delete and reinsert, so that the map is ordered by last use. A sender is a
+	// process; once it is the oldest of this many senders, its connections are long closed.
+	highestForgotten.delete(sender);
+	highestForgotten.set(sender, highestSequence);
+	if (highestForgotten.size > maxRetainedSenders) {
+		const [oldest] = highestForgotten.keys();
+		highestForgotten.delete(oldest!);
 	}
 };
