--- a/packages/daemon/src/control/answer-query.ts
+++ b/packages/daemon/src/control/answer-query.ts
@@ -10,14 +10,14 @@
 export type QueryView = {
 	readonly catalog: Catalog;
 	readonly registry: HostRegistry;
-	/** How far the newest revision has come. */
+	/** On which hosts the newest revision is in force. */
 	readonly inForce: InForceResult;
 	readonly nowMs: number;
-	/** A host that has not renewed for this long is out of service. */
+	/** A host that has not renewed its lease for this long is out of service. */
 	readonly leaseMs: number;
 };
 
-/** Rows for one question, before its conditions. */
+/** All rows of one subject, before the conditions are applied. */
 const rowsOf = (view: QueryView, subject: Show['subject']): QueryRow[] => match(subject)
 	.with('replicas', () => replicaRows(view))
 	.with('transfers', () => liveReports(view).flatMap(report => transferRows(report)))
@@ -40,13 +40,13 @@
 		model: rollout.modelId, from: rollout.fromFleetId, to: rollout.toFleetId, state: rollout.state, moved: rollout.movedPercent, of: rollout.percent,
 		step: rollout.step, detail: rollout.detail,
 	})))
-	// Requests are known to the entries alone; the entry that was asked gathers them.
+	// Only the entries know the requests; the entry that receives the query gathers them.
 	.with('requests', () => [])
 	.exhaustive();
 
 const isLive = (view: QueryView, hostId: string): boolean => {
-	const heard = view.registry.get(hostId);
-	return heard !== undefined && view.nowMs - heard.heardAtMs < view.leaseMs;
+	const lastSeen = view.registry.get(hostId);
+	return lastSeen !== undefined && view.nowMs - lastSeen.lastSeenAtMs < view.leaseMs;
 };
 
 const liveReports = (view: QueryView): HostReport[] => [...view.registry.values()]
@@ -112,7 +112,7 @@
 	return first.localeCompare(second, 'en', {numeric: true});
 });
 
-/** Rows that meet every condition, in order. */
+/** Rows that meet every condition, sorted by their first column. */
 export const selectRows = (rows: readonly QueryRow[], where: readonly Condition[]): QueryRow[] => sortByFirstColumn(rows)
 	.filter(row => where.every(condition => compare(row[condition.field], condition)));
 
--- a/packages/daemon/src/control/consensus-driver.ts
+++ b/packages/daemon/src/control/consensus-driver.ts
@@ -17,11 +17,11 @@
 	/** @default performance.now */
 	nowMs?(): number;
 	send(envelope: ConsensusEnvelope): void;
-	/** Called once for each committed entry, in order. */
+	/** Called once per committed entry, in log order. */
 	onCommit(entry: LogEntry): void;
 	onSnapshot(snapshot: Snapshot): void;
 	onRoleChange(effect: Extract<ConsensusEffect, {type: 'roleChanged'}>): void;
-	/** The log could not be written: nothing may be acknowledged any more. */
+	/** Called when the log could not be written: nothing may be acknowledged from then on. */
 	onFailure(error: Error): void;
 };
 
@@ -33,27 +33,27 @@
 	readonly state: ConsensusState;
 	receive(envelope: ConsensusEnvelope): void;
 	propose(payload: LogEntry['payload']): ProposalOutcome;
-	/** Hands the leadership over, if this host leads and another voter is up to date; `state.role` tells when. */
+	/** Hands the leadership over if this host leads and another voter is up to date; `state.role` shows when it is done. */
 	transferLeadership(): void;
-	/** The first voters have agreed who they are. */
+	/** Applies the member list on which the initial voters have agreed. */
 	form(members: Members): void;
-	/** Replaces the committed log up to `snapshot.index`. */
+	/** Replaces the committed log up to and including `snapshot.index`. */
 	compact(snapshot: Omit<Snapshot, 'members'>): void;
 	close(): Promise<void>;
 };
 
-const tickMs = 25;
+const tickIntervalMs = 25;
 
-/** Work for the disk, in the order in which it was asked for. */
+/** A disk task; tasks run in the order in which they were queued. */
 type DiskTask
 	= | {readonly type: 'records'; readonly records: readonly LogRecord[]}
 		| {readonly type: 'snapshot'; readonly snapshot: Snapshot; readonly hardState: HardState; readonly tail: readonly LogEntry[]}
 		| {readonly type: 'send'; readonly envelope: ConsensusEnvelope};
 
 /**
- * Turns the effects of consensus into disk writes and messages. While one sync
- * runs, everything that comes up waits and shares the next one: that is what
- * carries many changes a second on a slow disk.
+ * Turns the effects of consensus into disk writes and messages. Everything that
+ * is queued while a sync runs shares the next sync (group commit), which allows
+ * many changes per second on a slow disk.
  */
 export const createConsensusDriver = (options: ConsensusDriverOptions): ConsensusDriver => {
 	const {selfId, store, seed, recorder, nowMs = () => performance.now()} = options;
@@ -63,12 +63,12 @@
 	};
 	const state = createConsensus({...consensusOptions, random: createRandom(seed)});
 	recorder?.begin({machine: 'consensus', seed, options: consensusOptions});
-	let disk: DiskTask[] = [];
+	let diskTasks: DiskTask[] = [];
 	let isFlushing = false;
 	let isClosed = false;
 	let flushed: Promise<void> = Promise.resolve();
 	let lastOutcome: ProposalOutcome | null = null;
-	let proposals = 0;
+	let lastProposalToken = 0;
 
 	const envelopeTo = (to: string, message: ConsensusMessage): ConsensusEnvelope => ({from: selfId, to, message});
 
@@ -80,7 +80,7 @@
 			perform(effect);
 		}
 
-		if (disk.length > 0 && !isFlushing && !isClosed) {
+		if (diskTasks.length > 0 && !isFlushing && !isClosed) {
 			isFlushing = true;
 			flushed = flush();
 		}
@@ -99,17 +99,17 @@
 				}
 
 				records.push(...added.map(entry => ({type: 'entry', entry}) as const));
-				disk.push({type: 'records', records});
+				diskTasks.push({type: 'records', records});
 			})
 			.with({type: 'installSnapshot'}, ({snapshot: installed, hardState: saved}) => {
-				disk.push({
+				diskTasks.push({
 					type: 'snapshot', snapshot: installed, hardState: saved, tail: [],
 				});
 				options.onSnapshot(installed);
 			})
 			.with({type: 'send'}, ({to, message, afterSync}) => {
 				if (afterSync) {
-					disk.push({type: 'send', envelope: envelopeTo(to, message)});
+					diskTasks.push({type: 'send', envelope: envelopeTo(to, message)});
 				} else {
 					options.send(envelopeTo(to, message));
 				}
@@ -132,14 +132,14 @@
 	};
 
 	const flush = async (): Promise<void> => {
-		// Leave the current turn first, so that all events of this turn share the sync.
+		// Yields to the event loop first, so that all events of the current turn share the sync.
 		await new Promise(resolve => {
 			setImmediate(resolve);
 		});
 		try {
-			while (disk.length > 0) {
-				const tasks = disk;
-				disk = [];
+			while (diskTasks.length > 0) {
+				const tasks = diskTasks;
+				diskTasks = [];
 				await flushTasks(tasks);
 			}
 		} catch (error) {
@@ -153,16 +153,16 @@
 	const flushTasks = async (tasks: readonly DiskTask[]): Promise<void> => {
 		let records: LogRecord[] = [];
 		let sends: ConsensusEnvelope[] = [];
-		const settle = async (): Promise<void> => {
+		const flushPending = async (): Promise<void> => {
 			const written = records;
-			const waiting = sends;
+			const pendingSends = sends;
 			records = [];
 			sends = [];
 			if (written.length > 0) {
 				await store.append(written);
 			}
 
-			for (const envelope of waiting) {
+			for (const envelope of pendingSends) {
 				options.send(envelope);
 			}
 
@@ -178,28 +178,28 @@
 			} else if (task.type === 'send') {
 				sends.push(task.envelope);
 			} else {
-				await settle();
+				await flushPending();
 				await store.saveSnapshot(task.snapshot, task.hardState, task.tail);
 			}
 		}
 
-		await settle();
+		await flushPending();
 	};
 
 	const timer = setInterval(() => {
 		dispatch({type: 'tick'});
-	}, tickMs);
+	}, tickIntervalMs);
 	return {
 		state,
 		receive({from, to, message}) {
-			// A message to the member that this host was with an earlier disk isn't for this one.
+			// Ignores messages to the member that this host was with an earlier disk.
 			if (!isClosed && to === selfId) {
 				dispatch({type: 'message', from, message});
 			}
 		},
 		propose(payload) {
-			proposals++;
-			dispatch({type: 'propose', token: proposals, payload});
+			lastProposalToken++;
+			dispatch({type: 'propose', token: lastProposalToken, payload});
 			return lastOutcome!;
 		},
 		transferLeadership() {
@@ -209,11 +209,11 @@
 			dispatch({type: 'formed', members});
 		},
 		compact(replaced) {
-			// The members as of that entry: newer ones may yet be taken back.
-			const taken: Snapshot = {...replaced, members: membersAt(state, replaced.index)};
-			dispatch({type: 'compacted', snapshot: taken});
-			disk.push({
-				type: 'snapshot', snapshot: taken, hardState: {term: state.term, votedFor: state.votedFor}, tail: [...state.entries],
+			// The members as of that entry: newer, uncommitted ones may still be rolled back.
+			const withMembers: Snapshot = {...replaced, members: membersAt(state, replaced.index)};
+			dispatch({type: 'compacted', snapshot: withMembers});
+			diskTasks.push({
+				type: 'snapshot', snapshot: withMembers, hardState: {term: state.term, votedFor: state.votedFor}, tail: [...state.entries],
 			});
 		},
 		async close() {
--- a/packages/daemon/src/control/control-rpc.ts
+++ b/packages/daemon/src/control/control-rpc.ts
@@ -10,7 +10,7 @@
 import type {ConsensusDriver} from './consensus-driver.js';
 import {createLeaderCalls} from './leader-calls.js';
 import type {MemberIdentity} from './member-identity.js';
-import type {PlacedReport} from './host-view.js';
+import type {SessionReport} from './host-view.js';
 import type {Proposals} from './proposals.js';
 import {createSystemCheck} from './system-check.js';
 import type {WatchHub} from './watch-hub.js';
@@ -21,35 +21,35 @@
 	readonly hub: WatchHub;
 	readonly logger: Logger;
 	readonly identity: MemberIdentity;
-	/** `null` until this host has heard what its system is called. */
+	/** `null` until this host has received the id of its system. */
 	systemId(): string | null;
-	/** Takes the word of a control host that stands by. */
-	hearStandby(memberId: string): void;
+	/** Records the announcement of a standby control host. */
+	recordStandby(memberId: string): void;
 	isLeader(): boolean;
 	/** Address of the leader; `undefined` while there is none or this host leads. */
 	leaderAddress(): string | undefined;
-	/** Resolves once this host has passed its leadership on; at once while it isn't about to. */
-	handedOver(): Promise<unknown>;
-	/** What the leader answers questions from. */
+	/** Resolves once this host has handed its leadership over; immediately if no hand-over is in progress. */
+	whenHandedOver(): Promise<unknown>;
+	/** The state from which the leader answers queries. */
 	view(subject: Show['subject']): Promise<QueryView>;
-	/** What the hosts that watch here said last. */
-	ownReports(): PlacedReport[];
-	/** Takes another control host's message about its hosts, as leader. */
-	hearFold(fold: Fold): FoldResult;
+	/** The latest reports of the hosts that watch this control host. */
+	ownReports(): SessionReport[];
+	/** Processes another control host's aggregated host reports, as leader. */
+	receiveAggregate(aggregate: Fold): FoldResult;
 	inForce(revision: number): InForceResult;
 };
 
-/** What other processes may ask of a control host. */
+/** The RPC methods that a control host offers to other processes. */
 export const createControlRpc = (options: ControlRpcOptions): RpcServer => {
 	const {
-		driver, proposals, hub, logger, identity, hearStandby, view, ownReports, isLeader, hearFold, inForce,
+		driver, proposals, hub, logger, identity, recordStandby, view, ownReports, isLeader, receiveAggregate, inForce,
 	} = options;
 	const assertSameSystem = createSystemCheck(options.systemId);
-	const atLeader = createLeaderCalls({...options, assertSameSystem});
+	const callLeader = createLeaderCalls({...options, assertSameSystem});
 
 	const query = async (show: Show): Promise<QueryResult> => {
-		const seen = await view(show.subject);
-		return {revision: seen.catalog.revision, rows: answerQuery(seen, show)};
+		const queryView = await view(show.subject);
+		return {revision: queryView.catalog.revision, rows: answerQuery(queryView, show)};
 	};
 
 	const rpc = createRpcServer();
@@ -60,22 +60,22 @@
 	});
 	rpc.method('control.formation', formationParametersSchema, () => identity.formation());
 	rpc.method('control.standby', standbyParametersSchema, ({memberId}) => {
-		hearStandby(memberId);
+		recordStandby(memberId);
 	});
 	rpc.method('control.watch', watchParametersSchema, async parameters => {
 		assertSameSystem(parameters.systemId);
 		return hub.watch(parameters);
 	});
-	rpc.method('control.fold', foldSchema, fold => {
+	rpc.method('control.fold', foldSchema, aggregate => {
 		if (!isLeader()) {
 			throw new RpcError(rpcErrorCodes.notLeader, 'this control host does not lead');
 		}
 
-		return hearFold(fold);
+		return receiveAggregate(aggregate);
 	});
 	rpc.method('control.reports', reportsParametersSchema, () => ownReports());
-	rpc.method('control.inForce', inForceParametersSchema, async parameters => atLeader('control.inForce', parameters, () => inForce(parameters.revision)));
-	rpc.method('control.propose', proposeParametersSchema, async parameters => atLeader('control.propose', parameters, async () => {
+	rpc.method('control.inForce', inForceParametersSchema, async parameters => callLeader('control.inForce', parameters, () => inForce(parameters.revision)));
+	rpc.method('control.propose', proposeParametersSchema, async parameters => callLeader('control.propose', parameters, async () => {
 		const {command} = parameters;
 		const result = await proposals.propose(command);
 		if (result.type === 'accepted' && command.commandId !== null) {
@@ -84,6 +84,6 @@
 
 		return result;
 	}));
-	rpc.method('control.query', queryParametersSchema, async parameters => atLeader('control.query', parameters, async () => query(parameters.show)));
+	rpc.method('control.query', queryParametersSchema, async parameters => callLeader('control.query', parameters, async () => query(parameters.show)));
 	return rpc;
 };
--- a/packages/daemon/src/control/create-control-node.ts
+++ b/packages/daemon/src/control/create-control-node.ts
@@ -14,17 +14,17 @@
 import {createRecorder} from '../recording/recorder.js';
 import {createConsensusDriver, type ConsensusDriver} from './consensus-driver.js';
 import {createControlRpc} from './control-rpc.js';
-import {createFoldSender} from './fold-sender.js';
+import {createAggregateSender} from './aggregate-sender.js';
 import {handOver} from './hand-over.js';
-import {gatherReports, viewHosts, type PlacedReport} from './host-view.js';
+import {gatherReports, viewHosts, type SessionReport} from './host-view.js';
 import {openMemberIdentity} from './member-identity.js';
 import {createPeerSender} from './peer-sender.js';
 import {createProposals} from './proposals.js';
-import {createReconciler, reconcileMs} from './reconciler.js';
+import {createReconciler, reconcileIntervalMs} from './reconciler.js';
 import {
 	applyToReplica, createReplica, type Replica,
 } from './replica.js';
-import {createRolloutDriver, rolloutMs} from './rollout-driver.js';
+import {createRolloutDriver, rolloutIntervalMs} from './rollout-driver.js';
 import {createSnapshotTaker} from './snapshot-taker.js';
 import {createVoterRepair, repairMs} from './voter-repair.js';
 import {createWatchHub} from './watch-hub.js';
@@ -33,25 +33,25 @@
 	readonly selfId: string;
 	/** @default '127.0.0.1:0' */
 	readonly listen?: string;
-	/** Data folder; what is in it survives. */
+	/** Data folder; its contents persist across restarts. */
 	readonly folder: string;
-	/** Addresses of all control hosts by id, this one included. Read at each send, so a test may fill it late. */
+	/** Addresses of all control hosts by id, including this one. Read at each send, so a test may fill it after the start. */
 	readonly members: Map<string, string>;
-	/** Ids of the first voters. */
+	/** Ids of the initial voters. */
 	readonly voters: readonly string[];
 	/** @default 2500 */
 	readonly leaseMs?: number;
-	/** A host that is silent for this long leaves the configuration. @default 10000 */
+	/** A host that sends no report for this long is removed from the configuration. @default 10000 */
 	readonly hostLossMs?: number;
-	/** Entries in the log before it is replaced by a snapshot. @default 8192 */
+	/** Number of log entries after which the log is compacted into a snapshot. @default 8192 */
 	readonly snapshotEntries?: number;
-	/** A voter that is silent for longer than a restart takes is replaced. @default 15000 */
+	/** A voter that is silent for this long is replaced; longer than a restart takes. @default 15000 */
 	readonly replaceAfterMs?: number;
 	readonly recordFile?: string;
-	/** What this host holds for its callers at most. @default {} */
+	/** Resource limits of this host's server. @default {} */
 	readonly serverLimits?: ServerLimits;
 	readonly logger?: Logger;
-	/** Called when the log can no longer be written; this host has stopped serving. */
+	/** Called when the log can no longer be written; this host has then stopped serving. */
 	onFailed?(error: Error): void;
 };
 
@@ -59,24 +59,24 @@
 	readonly selfId: string;
 	readonly address: string;
 	isLeader(): boolean;
-	/** Ids of the members as `host#disk`, as far as this host knows. */
+	/** Ids of the members as `host#disk`, as known to this host. */
 	members(): Members;
-	/** Syncs of the log since the start. */
+	/** Number of log syncs since the start. */
 	syncCount(): number;
-	/** Graceful: hands the leadership over, sends watching hosts elsewhere, answers what was asked, ends. */
+	/** Graceful shutdown: hands the leadership over, releases watching hosts to other control hosts, answers pending requests, then exits. */
 	stop(): Promise<void>;
-	/** Ends at once. */
+	/** Immediate shutdown. */
 	close(): Promise<void>;
 };
 
-const formMs = 100;
-/** Questions whose answers change too often for the leader to be told without being asked. */
+const formationIntervalMs = 100;
+/** Subjects whose data changes too often to be reported to the leader continuously; it is gathered per query. */
 const detailedSubjects: ReadonlySet<Show['subject']> = new Set(['transfers', 'requests']);
 
-/** A system without a name gets one; of two leaders who each drew one, the first to be committed counts. */
-const planSystemName = ({systemId: known}: Catalog): Change[] => known === undefined ? [{type: 'nameSystem', systemId: systemId(randomUUID())}] : [];
+/** Assigns an id to a system that has none; if two leaders each generated one, the first committed id is kept. */
+const planSystemName = ({systemId: assignedId}: Catalog): Change[] => assignedId === undefined ? [{type: 'nameSystem', systemId: systemId(randomUUID())}] : [];
 
-/** One control host: the log, the configuration that follows from it, and the hosts that watch it. */
+/** One control host: the log, the configuration derived from it, and the hosts that watch it. */
 export const createControlNode = async (options: ControlNodeOptions): Promise<ControlNode> => {
 	const {
 		selfId, listen = '127.0.0.1:0', folder, members, voters, leaseMs = leaseTimes.hostLeaseMs, hostLossMs = 10_000, snapshotEntries = 8192,
@@ -93,12 +93,12 @@
 
 	let replica: Replica = createReplica(store.loaded.snapshot);
 	let leadingSinceMs = 0;
-	let isLeaving = false;
-	let handedOver: Promise<unknown> = Promise.resolve();
-	let word: LeaderWord | null = null;
+	let isStopping = false;
+	let handOverCompleted: Promise<unknown> = Promise.resolve();
+	let leaderLease: LeaderWord | null = null;
 	let lossBudget = createLossBudget();
 	const presence = createPresence({hostLeaseMs: leaseMs, memberLeaseMs: leaseTimes.wordMs});
-	const fold = createReportFold({memberId: selfId, silentMs: leaseMs, epoch: Date.now()});
+	const aggregator = createReportFold({memberId: selfId, silentMs: leaseMs, epoch: Date.now()});
 	const proposals = createProposals({append: payload => driver.propose(payload)});
 	const snapshots = createSnapshotTaker({
 		logger, snapshotEntries, replica: () => replica, driver: () => driver,
@@ -139,7 +139,7 @@
 				lossBudget = createLossBudget();
 			}
 
-			foldSender.startForLeader();
+			aggregateSender.startForLeader();
 			hub.wake();
 		},
 		onFailure(error) {
@@ -161,19 +161,19 @@
 		return leaderId === null || leaderId === identity.memberId ? undefined : members.get(hostOfMember(leaderId));
 	};
 
-	const foldSender = createFoldSender({
-		fold, isLeader, leaderAddress,
-		hearOwn: message => hearFold(presence, message, performance.now()),
-		onWord(given) {
-			word = given;
+	const aggregateSender = createAggregateSender({
+		aggregator, isLeader, leaderAddress,
+		recordOwnAggregate: message => hearFold(presence, message, performance.now()),
+		onLeaderLease(lease) {
+			leaderLease = lease;
 			hub.wake();
 		},
 	});
 	const hub = createWatchHub({
-		leaseMs, fold,
+		leaseMs, aggregator,
 		replica: () => replica,
-		// A leader with its lease asks itself, at this moment.
-		word: () => isLeader() ? {askedAtMs: Number.POSITIVE_INFINITY, untilMs: Number.POSITIVE_INFINITY, revision: replica.state.catalog.revision} : word,
+		// A leader that holds its lease grants it to itself, as of now.
+		currentLeaderLease: () => isLeader() ? {askedAtMs: Number.POSITIVE_INFINITY, untilMs: Number.POSITIVE_INFINITY, revision: replica.state.catalog.revision} : leaderLease,
 	});
 	const reconciler = createReconciler({
 		proposals, logger, isLeader,
@@ -185,11 +185,11 @@
 				catalog, presence, budget: lossBudget, nowMs, hostLossMs,
 			})];
 		},
-		onLeft(hostId) {
+		onHostLeft(hostId) {
 			forgetHost(presence, hostId);
 		},
 	});
-	const ownReports = (): PlacedReport[] => [...fold.watchers.values()].map(({session, report}) => ({session, report}));
+	const ownReports = (): SessionReport[] => [...aggregator.watchers.values()].map(({session, report}) => ({session, report}));
 	const gather = async (): Promise<HostReport[]> => gatherReports([...members].filter(([id]) => id !== selfId).map(([, address]) => address), ownReports());
 	const rollouts = createRolloutDriver({
 		proposals, presence, logger, isLeader, gather,
@@ -201,8 +201,8 @@
 		leadingSinceMs: () => leadingSinceMs,
 	});
 	const rpc = createControlRpc({
-		driver, proposals, hub, logger, identity, systemId: () => replica.state.catalog.systemId ?? null, hearStandby: repair.hear, isLeader, leaderAddress, ownReports,
-		handedOver: async () => handedOver,
+		driver, proposals, hub, logger, identity, systemId: () => replica.state.catalog.systemId ?? null, recordStandby: repair.hear, isLeader, leaderAddress, ownReports,
+		whenHandedOver: async () => handOverCompleted,
 		async view(subject) {
 			const gathered = detailedSubjects.has(subject) ? await gather() : [];
 			const nowMs = performance.now();
@@ -211,7 +211,7 @@
 				catalog, registry: viewHosts(presence, gathered, nowMs), inForce: inForceOf(presence, catalog.revision, nowMs), nowMs, leaseMs,
 			};
 		},
-		hearFold: message => hearFold(presence, message, performance.now())
+		receiveAggregate: message => hearFold(presence, message, performance.now())
 			? {type: 'taken', revision: replica.state.catalog.revision, leaseMs: leaseTimes.wordMs}
 			: {type: 'wantsAll'},
 		inForce: revision => inForceOf(presence, revision, performance.now()),
@@ -223,7 +223,7 @@
 			if (request.method === 'POST' && request.url === rpcPath) {
 				await rpc.serve(request, response);
 			} else if (request.url === '/readyz') {
-				const isReady = !isLeaving && isInContact(driver.state, performance.now());
+				const isReady = !isStopping && isInContact(driver.state, performance.now());
 				sendJson(response, isReady ? 200 : 503, {
 					role: driver.state.role, term: driver.state.term, leaderId: driver.state.leaderId === null ? null : hostOfMember(driver.state.leaderId), revision: replica.state.catalog.revision,
 				});
@@ -247,17 +247,17 @@
 	const timers = [
 		setInterval(() => {
 			void form();
-		}, formMs),
+		}, formationIntervalMs),
 		setInterval(repair.run, repairMs),
 		setInterval(() => {
 			void reconciler.reconcile();
-		}, reconcileMs),
+		}, reconcileIntervalMs),
 		setInterval(() => {
-			void foldSender.send();
+			void aggregateSender.send();
 		}, leaseTimes.askMs),
 		setInterval(() => {
 			void rollouts.advance();
-		}, rolloutMs),
+		}, rolloutIntervalMs),
 	];
 	const stopTimers = (): void => {
 		for (const timer of timers) {
@@ -265,7 +265,7 @@
 		}
 	};
 
-	const passLeadershipOn = async (): Promise<void> => {
+	const handOverAndLog = async (): Promise<void> => {
 		const result = await handOver({driver});
 		if (result.type === 'handedOver') {
 			logger.event('BP1011', {leaderId: hostOfMember(result.leaderId), tookMs: result.tookMs});
@@ -281,12 +281,12 @@
 		members: () => driver.state.members,
 		syncCount: store.syncCount,
 		async stop() {
-			isLeaving = true;
-			handedOver = passLeadershipOn();
-			await handedOver;
-			hub.leave();
+			isStopping = true;
+			handOverCompleted = handOverAndLog();
+			await handOverCompleted;
+			hub.drain();
 			stopTimers();
-			// Consensus goes on meanwhile, so that orders that were asked here and passed on get their answer.
+			// Consensus keeps running meanwhile, so that commands that were received here and forwarded still get their response.
 			await server.close();
 			await driver.close();
 		},
--- a/packages/daemon/src/control/hand-over.ts
+++ b/packages/daemon/src/control/hand-over.ts
@@ -3,18 +3,18 @@
 
 export type HandOverOptions = {
 	readonly driver: ConsensusDriver;
-	/** Given up after this long: longer than an ordinary election takes, in which this host's vote may be needed. @default 2000 */
+	/** Abandons the hand-over after this long; longer than an ordinary election takes, in which this host's vote may be needed. @default 2000 */
 	readonly timeoutMs?: number;
 };
 
-/** How the leadership of a host that stops was passed on. */
+/** Result of the leadership hand-over of a stopping host. */
 export type HandOverResult
 	= | {readonly type: 'handedOver'; readonly leaderId: string; readonly tookMs: number}
-	/** This host does not lead, or it is the only voter. */
+	/** This host is not the leader, or it is the only voter. */
 		| {readonly type: 'nothingToDo'}
 		| {readonly type: 'failed'};
 
-const pollMs = 5;
+const pollIntervalMs = 5;
 
 /** Hands the leadership over and waits until another host leads. */
 export const handOver = async ({driver, timeoutMs = 2000}: HandOverOptions): Promise<HandOverResult> => {
@@ -26,14 +26,14 @@
 	const startedAtMs = performance.now();
 	driver.transferLeadership();
 	while (performance.now() < startedAtMs + timeoutMs) {
-		await delay(pollMs);
+		await delay(pollIntervalMs);
 		const {role, leaderId, transferSinceMs} = driver.state;
 		if (role === 'follower' && leaderId !== null) {
 			return {type: 'handedOver', leaderId, tookMs: Math.round(performance.now() - startedAtMs)};
 		}
 
 		if (role === 'leader' && transferSinceMs === null) {
-			// No voter was ready in time.
+			// No voter caught up in time.
 			return {type: 'failed'};
 		}
 	}
--- a/packages/daemon/src/control/host-view.ts
+++ b/packages/daemon/src/control/host-view.ts
@@ -2,40 +2,40 @@
 import type {HostReport} from '@bitternpaddle/protocol';
 import {callRpc} from '@bitternpaddle/transport';
 
-/** One host as questions see it. */
-export type SeenHost = {readonly report: HostReport; readonly heardAtMs: number};
-export type HostRegistry = ReadonlyMap<string, SeenHost>;
+/** One host as seen by queries. */
+export type RegisteredHost = {readonly report: HostReport; readonly lastSeenAtMs: number};
+export type HostRegistry = ReadonlyMap<string, RegisteredHost>;
 
-/** A report as one control host heard it; the greatest session is the host's last place. */
-export type PlacedReport = {readonly session: number; readonly report: HostReport};
+/** A report as one control host received it; of several, the one with the highest session comes from the control host that the host watched last. */
+export type SessionReport = {readonly session: number; readonly report: HostReport};
 
 const reportsTimeoutMs = 1500;
 
 /**
- * Load and progress of transfers stay at the control host at which a host
- * watches; they are fetched when somebody asks, so that they cost the leader
- * nothing while nobody does.
+ * Load and transfer progress are kept at the control host that a host watches
+ * and are fetched only for a query, so that they cost the leader nothing
+ * otherwise.
  */
-export const gatherReports = async (addresses: readonly string[], own: readonly PlacedReport[]): Promise<HostReport[]> => {
-	const gathered = await Promise.all(addresses.map(async address => callRpc<PlacedReport[]>({
+export const gatherReports = async (addresses: readonly string[], own: readonly SessionReport[]): Promise<HostReport[]> => {
+	const gathered = await Promise.all(addresses.map(async address => callRpc<SessionReport[]>({
 		address, method: 'control.reports', params: {}, timeoutMs: reportsTimeoutMs,
 	}).catch(() => [])));
-	const latest = new Map<string, PlacedReport>();
-	for (const placed of [...own, ...gathered.flat()]) {
-		// A host that turned elsewhere is still known for a while where it was.
-		if (placed.session >= (latest.get(placed.report.hostId)?.session ?? 0)) {
-			latest.set(placed.report.hostId, placed);
+	const latest = new Map<string, SessionReport>();
+	for (const sessionReport of [...own, ...gathered.flat()]) {
+		// A control host still lists a host for a while after that host has moved to another one.
+		if (sessionReport.session >= (latest.get(sessionReport.report.hostId)?.session ?? 0)) {
+			latest.set(sessionReport.report.hostId, sessionReport);
 		}
 	}
 
 	return [...latest.values()].map(({report}) => report);
 };
 
-/** What is known of each host, with the fresher report where one was gathered. */
+/** The state of each host, with the more recent report where one was gathered. */
 export const viewHosts = (presence: Presence, gathered: readonly HostReport[], nowMs: number): HostRegistry => {
-	const fresh = new Map(gathered.map(report => [report.hostId, report]));
+	const latestReports = new Map(gathered.map(report => [report.hostId, report]));
 	return new Map([...presence.hosts].map(([hostId, {report}]) => [hostId, {
-		report: {...(fresh.get(hostId) ?? report), revision: confirmedRevision(presence, hostId)},
-		heardAtMs: presence.silent.get(hostId) ?? nowMs,
+		report: {...(latestReports.get(hostId) ?? report), revision: confirmedRevision(presence, hostId)},
+		lastSeenAtMs: presence.silent.get(hostId) ?? nowMs,
 	}]));
 };
--- a/packages/daemon/src/control/leader-calls.ts
+++ b/packages/daemon/src/control/leader-calls.ts
@@ -9,19 +9,19 @@
 	isLeader(): boolean;
 	/** Address of the leader; `undefined` while there is none or this host leads. */
 	leaderAddress(): string | undefined;
-	/** Resolves once this host has passed its leadership on; at once while it isn't about to. */
-	handedOver(): Promise<unknown>;
+	/** Resolves once this host has handed its leadership over; immediately if no hand-over is in progress. */
+	whenHandedOver(): Promise<unknown>;
 };
 
-/** What every call that the leader answers carries. */
+/** Parameters of every call that the leader answers. */
 export type LeaderCall = Readonly<Record<string, unknown>> & {readonly systemId: string | null; readonly isForwarded: boolean};
 
-/** Calls the leader's `method`, or does it here if this host leads. */
-export type AtLeader = <Result>(method: string, parameters: LeaderCall, here: () => Promise<Result> | Result) => Promise<Result>;
+/** Calls the leader's `method`, or runs it locally if this host leads. */
+export type CallLeader = <Result>(method: string, parameters: LeaderCall, runLocally: () => Promise<Result> | Result) => Promise<Result>;
 
-/** How long to look for the next leader once the one before has said that it no longer leads. */
-const nextLeaderMs = 500;
-const nextLeaderPollMs = 10;
+/** How long to wait for the next leader after the previous one has answered that it no longer leads. */
+const nextLeaderTimeoutMs = 500;
+const nextLeaderPollIntervalMs = 10;
 const forwardTimeoutMs = 3000 + proposalTimeoutMs;
 
 const noLeader = (): RpcError => new RpcError(rpcErrorCodes.notLeader, 'no leader is in contact with a quorum');
@@ -37,22 +37,23 @@
 		address, method, params: {...parameters, isForwarded: true}, timeoutMs: forwardTimeoutMs,
 	}).catch((error: unknown) => {
 		throw error instanceof TransportError
-			? new RpcError(rpcErrorCodes.noQuorum, `the leader cannot be reached (${error.message}); an order may still be accepted: resend it with the same command id`)
+			? new RpcError(rpcErrorCodes.noQuorum, `the leader cannot be reached (${error.message}); a change may still be accepted: resend it with the same command id`)
 			: error;
 	});
 };
 
 /**
- * A leader that says that it no longer leads has appended nothing: the next one
- * is asked as soon as it is known, so that nobody is refused for a planned stop.
+ * A leader that answers that it no longer leads has appended nothing, so the
+ * call is retried at the next leader as soon as that is known. A planned stop
+ * therefore fails no request.
  */
-export const createLeaderCalls = ({assertSameSystem, isLeader, leaderAddress, handedOver}: LeaderCallsOptions): AtLeader => async (method, parameters, here) => {
+export const createLeaderCalls = ({assertSameSystem, isLeader, leaderAddress, whenHandedOver}: LeaderCallsOptions): CallLeader => async (method, parameters, runLocally) => {
 	assertSameSystem(parameters.systemId);
-	await handedOver();
-	const giveUpAtMs = performance.now() + nextLeaderMs;
+	await whenHandedOver();
+	const retryUntilMs = performance.now() + nextLeaderTimeoutMs;
 	for (let tries = 0; ; tries++) {
 		if (isLeader()) {
-			return here();
+			return runLocally();
 		}
 
 		const address = leaderAddress();
@@ -63,11 +64,11 @@
 		try {
 			return await forward(address, method, parameters);
 		} catch (error) {
-			if (!isNotLeader(error) || performance.now() >= giveUpAtMs) {
+			if (!isNotLeader(error) || performance.now() >= retryUntilMs) {
 				throw error;
 			}
 		}
 
-		await delay(nextLeaderPollMs);
+		await delay(nextLeaderPollIntervalMs);
 	}
 };
--- a/packages/daemon/src/control/log-proposals.ts
+++ b/packages/daemon/src/control/log-proposals.ts
@@ -12,15 +12,15 @@
 };
 
 export type LogProposals<Result> = {
-	/** Appends to the log; resolves once the entry was committed and applied. */
+	/** Appends to the log; resolves once the entry has been committed and applied. */
 	propose(payload: LogEntry['payload']): Promise<Result>;
-	/** Answers whoever proposed `entry`, if that was here. */
+	/** Settles the promise of the local proposer of `entry`, if there is one. */
 	settle(entry: LogEntry, result: Result): void;
 };
 
 export const proposalTimeoutMs = 5000;
 
-/** Entries that this control host appended and whose fate is open. */
+/** Entries that this control host appended and that are neither committed nor lost yet. */
 export const createLogProposals = <Result>({timeoutMs = proposalTimeoutMs, append}: LogProposalsOptions): LogProposals<Result> => {
 	const pending = new Map<number, PendingProposal<Result>>();
 	return {
@@ -28,7 +28,7 @@
 			const outcome = append(payload);
 			if (outcome.type === 'rejected') {
 				throw new RpcError(rpcErrorCodes.notLeader, outcome.reason === 'handingOver'
-					? 'this control host hands the leadership over; the change was not accepted, try again'
+					? 'this control host is handing the leadership over; the change was not accepted, try again'
 					: 'this control host does not lead');
 			}
 
--- a/packages/daemon/src/control/member-identity.ts
+++ b/packages/daemon/src/control/member-identity.ts
@@ -11,22 +11,22 @@
 export type MemberIdentityOptions = {
 	readonly hostId: string;
 	readonly folder: string;
-	/** Hosts of the first voters. */
+	/** Hosts of the initial voters. */
 	readonly voters: readonly string[];
 	addressOf(hostId: string): string | undefined;
 };
 
-/** Which member of the log this host is: its name and the disk that it keeps the log on. */
+/** The consensus member that this host is, identified by its host id and the disk that holds its log. */
 export type MemberIdentity = {
 	readonly memberId: string;
 	formation(): Formation;
-	/** One round with the other first voters; `true` if this round formed the group. */
+	/** Runs one round with the other initial voters; `true` if this round formed the group. */
 	form(): Promise<boolean>;
-	/** The log has named the members: this host no longer forms a group. */
+	/** Ends group formation on this host, because the log has specified the members. */
 	adoptFromLog(): Promise<void>;
 };
 
-const askTimeoutMs = 500;
+const requestTimeoutMs = 500;
 
 const readFormation = async (filePath: string): Promise<Formation | null> => {
 	try {
@@ -40,25 +40,25 @@
 	}
 };
 
-/** Reads the identity from the data folder, or gives an empty folder a new one. */
+/** Reads the identity from the data folder, or creates one in an empty folder. */
 export const openMemberIdentity = async ({hostId, folder, voters, addressOf}: MemberIdentityOptions): Promise<MemberIdentity> => {
 	await mkdir(folder, {recursive: true});
 	const filePath = path.join(folder, 'formation.json');
 	let formation: Formation = await readFormation(filePath) ?? {diskId: randomUUID().slice(0, 8), accepted: null, isFormed: false};
-	let saved: Promise<void> = Promise.resolve();
+	let lastSave: Promise<void> = Promise.resolve();
 	const save = async (next: Formation): Promise<void> => {
-		saved = saved.then(async () => {
+		lastSave = lastSave.then(async () => {
 			if (!formation.isFormed) {
-				// On disk before anybody can hear of it.
+				// Persisted before any other host can receive it.
 				await replaceFile(filePath, JSON.stringify(next));
 				formation = next;
 			}
 		});
-		return saved;
+		return lastSave;
 	};
 
 	await save(formation);
-	const ask = async (voter: string): Promise<[string, Formation] | null> => {
+	const requestFormation = async (voter: string): Promise<[string, Formation] | null> => {
 		const address = addressOf(voter);
 		if (address === undefined) {
 			return null;
@@ -66,7 +66,7 @@
 
 		try {
 			const answer = await callRpc({
-				address, method: 'control.formation', params: {}, timeoutMs: askTimeoutMs,
+				address, method: 'control.formation', params: {}, timeoutMs: requestTimeoutMs,
 			});
 			return [voter, formationSchema.parse(answer)];
 		} catch {
@@ -82,7 +82,7 @@
 				return false;
 			}
 
-			const answers = await Promise.all(voters.filter(voter => voter !== hostId).map(async voter => ask(voter)));
+			const answers = await Promise.all(voters.filter(voter => voter !== hostId).map(async voter => requestFormation(voter)));
 			if (formation.isFormed) {
 				return false;
 			}
--- a/packages/daemon/src/control/reconciler.ts
+++ b/packages/daemon/src/control/reconciler.ts
@@ -6,18 +6,18 @@
 	readonly proposals: Proposals;
 	readonly logger: Logger;
 	isLeader(): boolean;
-	/** The changes that are due now. */
+	/** Returns the changes that are due now. */
 	plan(): Change[];
-	/** A host is out of the configuration. */
-	onLeft(hostId: string): void;
+	/** Called when a host has been removed from the configuration. */
+	onHostLeft(hostId: string): void;
 };
 
 export type Reconciler = {reconcile(): Promise<void>};
 
-export const reconcileMs = 200;
+export const reconcileIntervalMs = 200;
 
-/** Proposes what follows from reports, while this host leads; one round at a time. */
-export const createReconciler = ({proposals, logger, isLeader, plan, onLeft}: ReconcilerOptions): Reconciler => {
+/** Proposes the changes that follow from host reports, while this host leads; one round at a time. */
+export const createReconciler = ({proposals, logger, isLeader, plan, onHostLeft}: ReconcilerOptions): Reconciler => {
 	let isReconciling = false;
 
 	const proposeOne = async (change: Change): Promise<void> => {
@@ -25,7 +25,7 @@
 		if (change.type === 'hostJoined') {
 			logger.event('BP1004', {hostId: change.announcement.hostId});
 		} else if (change.type === 'hostLeft') {
-			onLeft(change.hostId);
+			onHostLeft(change.hostId);
 			logger.event('BP1005', {hostId: change.hostId});
 		}
 	};
@@ -40,7 +40,7 @@
 			try {
 				await Promise.all(plan().map(async change => proposeOne(change)));
 			} catch {
-				// Leadership was lost on the way; the next leader plans from its own reports.
+				// Leadership was lost meanwhile; the next leader plans from its own reports.
 			} finally {
 				isReconciling = false;
 			}
--- a/packages/daemon/src/control/replica.ts
+++ b/packages/daemon/src/control/replica.ts
@@ -3,7 +3,7 @@
 	applyCommand, createCatalog, createLedger, upgradeAdapters, type CatalogChange, type Command, type CommandResult, type ReplicatedState, type Snapshot,
 } from '@bitternpaddle/state';
 
-/** This control host's copy of what the log says so far. */
+/** This control host's copy of the state, with the log applied up to `appliedIndex`. */
 export type Replica = {
 	state: ReplicatedState;
 	history: ChangeHistory;
@@ -25,7 +25,7 @@
 	};
 };
 
-/** Applies a committed command and keeps the change for hosts that have yet to see it. */
+/** Applies a committed command and records the change for hosts that have not received it yet. */
 export const applyToReplica = (replica: Replica, command: Command, index: number): CommandResult => {
 	const before = replica.state.catalog.revision;
 	const result = applyCommand(replica.state, command, index);
--- a/packages/daemon/src/control/rollout-driver.ts
+++ b/packages/daemon/src/control/rollout-driver.ts
@@ -10,25 +10,25 @@
 	readonly logger: Logger;
 	isLeader(): boolean;
 	catalog(): Catalog;
-	/** What all hosts said last, from all control hosts. */
+	/** Gathers the latest report of every host from all control hosts. */
 	gather(): Promise<HostReport[]>;
 };
 
-export const rolloutMs = 500;
+export const rolloutIntervalMs = 500;
 
-/** Asks entries and proposes steps, only while this host leads and a move is running. */
+/** Gathers entry reports and proposes rollout steps, only while this host leads and a rollout is running. */
 export const createRolloutDriver = (options: RolloutDriverOptions): {advance(): Promise<void>} => {
 	const {proposals, presence, logger, isLeader, catalog, gather} = options;
-	const watch: RolloutWatch = new Map();
+	const rolloutWatch: RolloutWatch = new Map();
 	let isAdvancing = false;
 
 	const advance = async (): Promise<void> => {
 		const entryReports = (await gather()).filter(({role}) => role === 'entry');
-		const heard = new Set(entryReports.map(({hostId}) => hostId));
-		const isComplete = [...presence.hosts].every(([hostId, {report}]) => report.role !== 'entry' || presence.silent.has(hostId) || heard.has(hostId));
+		const reportingHostIds = new Set(entryReports.map(({hostId}) => hostId));
+		const isComplete = [...presence.hosts].every(([hostId, {report}]) => report.role !== 'entry' || presence.silent.has(hostId) || reportingHostIds.has(hostId));
 		const changes = isLeader()
 			? planRollouts({
-				catalog: catalog(), watch, entryReports, isComplete, nowMs: performance.now(),
+				catalog: catalog(), watch: rolloutWatch, entryReports, isComplete, nowMs: performance.now(),
 			})
 			: [];
 		for (const change of changes) {
@@ -43,8 +43,8 @@
 		async advance() {
 			const isRunning = Object.values(catalog().rollouts).some(({state}) => state === 'running');
 			if (!isLeader() || !isRunning) {
-				// Another leader may have gone on meanwhile; this one would start its watch anew.
-				watch.clear();
+				// Another leader may have advanced the rollout meanwhile, so a later term of this one starts with no observations.
+				rolloutWatch.clear();
 				return;
 			}
 
@@ -56,7 +56,7 @@
 			try {
 				await advance();
 			} catch {
-				// Leadership was lost on the way; the next leader goes on from the catalog.
+				// Leadership was lost meanwhile; the next leader continues from the catalog.
 			} finally {
 				isAdvancing = false;
 			}
--- a/packages/daemon/src/control/snapshot-taker.ts
+++ b/packages/daemon/src/control/snapshot-taker.ts
@@ -5,14 +5,14 @@
 
 export type SnapshotTakerOptions = {
 	readonly logger: Logger;
-	/** Entries in the log before it is replaced by a snapshot. */
+	/** Number of log entries after which the log is compacted into a snapshot. */
 	readonly snapshotEntries: number;
 	replica(): Replica;
 	driver(): ConsensusDriver;
 };
 
 export type SnapshotTaker = {
-	/** To be called after each applied entry. */
+	/** Must be called after each applied entry. */
 	afterEntry(): void;
 	close(): void;
 };
@@ -22,30 +22,31 @@
 });
 
 /**
- * Writes the state down in steps, so that heartbeats and watches are answered
- * meanwhile: in one piece 12,000 hosts took half a second, and the others
- * elected a new leader after 600 ms. The log is cut only when all is written.
+ * Serializes the state in steps, so that heartbeats and watches are answered
+ * meanwhile: in a single step, 12,000 hosts took half a second, and the other
+ * voters elect a new leader after 600 ms. The log is truncated only once the
+ * state is completely serialized.
  */
 export const createSnapshotTaker = ({logger, snapshotEntries, replica, driver}: SnapshotTakerOptions): SnapshotTaker => {
-	let isTaking = false;
+	let isTakingSnapshot = false;
 	let isClosed = false;
 
-	const take = async (): Promise<void> => {
+	const takeSnapshot = async (): Promise<void> => {
 		const {state, appliedIndex: index, appliedTerm: term} = replica();
-		const text = await canonicalJsonInSteps(freezeState(state), {pause: nextTurn});
-		isTaking = false;
-		// One that came from the leader meanwhile may be newer.
+		const encodedState = await canonicalJsonInSteps(freezeState(state), {pause: nextTurn});
+		isTakingSnapshot = false;
+		// A snapshot that the leader sent meanwhile may be newer.
 		if (!isClosed && index > (driver().state.snapshot?.index ?? 0)) {
-			driver().compact({index, term, state: text});
+			driver().compact({index, term, state: encodedState});
 			logger.event('BP1003', {index});
 		}
 	};
 
 	return {
 		afterEntry() {
-			if (!isTaking && replica().appliedIndex - (driver().state.snapshot?.index ?? 0) >= snapshotEntries) {
-				isTaking = true;
-				void take();
+			if (!isTakingSnapshot && replica().appliedIndex - (driver().state.snapshot?.index ?? 0) >= snapshotEntries) {
+				isTakingSnapshot = true;
+				void takeSnapshot();
 			}
 		},
 		close() {
--- a/packages/daemon/src/control/system-check.ts
+++ b/packages/daemon/src/control/system-check.ts
@@ -1,14 +1,14 @@
 import {rpcErrorCodes} from '@bitternpaddle/protocol';
 import {RpcError} from '@bitternpaddle/transport';
 
-/** Throws unless the caller belongs to this system; `null` is a caller that has not heard yet of any. */
+/** Throws unless the caller belongs to this system; `null` stands for a caller that does not know its system yet. */
 export type SystemCheck = (callerSystemId: string | null) => void;
 
 /**
- * A host whose control host is gone may find another system's at the same
- * address. Without the check it would be counted there and take that system's
- * configuration, a state that nobody accepted for it; refused, it asks its
- * other control hosts.
+ * A host whose control host is gone may reach another system's control host at
+ * the same address. Without this check it would join that system and apply its
+ * configuration, which nobody accepted for this host. A rejected host turns to
+ * its other control hosts.
  */
 export const createSystemCheck = (ownSystemId: () => string | null): SystemCheck => callerSystemId => {
 	const own = ownSystemId();
@@ -17,6 +17,6 @@
 	}
 
 	throw own === null
-		? new RpcError(rpcErrorCodes.noQuorum, 'this control host has not yet heard which system it belongs to')
+		? new RpcError(rpcErrorCodes.noQuorum, 'this control host does not know yet which system it belongs to')
 		: new RpcError(rpcErrorCodes.foreignSystem, `this control host belongs to system ${own}, the caller to ${callerSystemId}`);
 };
--- a/packages/daemon/src/control/voter-repair.ts
+++ b/packages/daemon/src/control/voter-repair.ts
@@ -17,31 +17,31 @@
 };
 
 export type VoterRepair = {
-	/** A control host says that it isn't among the members. */
+	/** Records that a control host has announced itself as not being a member. */
 	hear(memberId: string): void;
-	/** Announces this host if it stands by, and changes the members if it leads. */
+	/** Announces this host if it is on standby, and changes the members if it leads. */
 	run(): void;
 };
 
 export const repairMs = 250;
-const announceMs = 1000;
+const announceIntervalMs = 1000;
 
-/** Keeps the number of voters: stand-by hosts become learners, and a learner takes a lost voter's place. */
+/** Maintains the number of voters: standby hosts become learners, and a learner replaces a lost voter. */
 export const createVoterRepair = (options: VoterRepairOptions): VoterRepair => {
 	const {driver, identity, voterCount, replaceAfterMs, logger, nowMs: now = () => performance.now()} = options;
 	const standbys = new Map<string, number>();
-	let announcedAtMs = Number.NEGATIVE_INFINITY;
+	let lastAnnouncedAtMs = Number.NEGATIVE_INFINITY;
 
 	const announce = (nowMs: number): void => {
-		// A removed voter that doesn't know it stands for election in vain; it announces itself too.
-		if (driver.state.leaderId !== null || nowMs - announcedAtMs < announceMs) {
+		// A removed voter that doesn't know of its removal calls elections that it cannot win; it announces itself too.
+		if (driver.state.leaderId !== null || nowMs - lastAnnouncedAtMs < announceIntervalMs) {
 			return;
 		}
 
-		announcedAtMs = nowMs;
+		lastAnnouncedAtMs = nowMs;
 		for (const address of options.otherAddresses()) {
 			notifyRpc({
-				address, method: 'control.standby', params: {memberId: identity.memberId}, timeoutMs: announceMs,
+				address, method: 'control.standby', params: {memberId: identity.memberId}, timeoutMs: announceIntervalMs,
 			}).catch(() => undefined);
 		}
 	};
@@ -72,7 +72,7 @@
 			const nowMs = now();
 			announce(nowMs);
 			plan(nowMs);
-			// Before it has formed a group, a host knows members only from the log.
+			// Until it has formed a group, a host knows the members only from the log.
 			if (driver.state.members.voters.length > 0 && !identity.formation().isFormed) {
 				void identity.adoptFromLog();
 			}
--- a/packages/daemon/src/control/watch-hub.ts
+++ b/packages/daemon/src/control/watch-hub.ts
@@ -7,65 +7,65 @@
 
 export type WatchHubOptions = {
 	readonly leaseMs: number;
-	readonly fold: ReportFold;
+	readonly aggregator: ReportFold;
 	replica(): Replica;
-	/** The leader's last word to this host; while it leads, its own. */
-	word(): LeaderWord | null;
+	/** The last lease that the leader granted this host; while this host leads, its own. */
+	currentLeaderLease(): LeaderWord | null;
 };
 
 export type WatchHub = {
-	/** Holds the call until there is news for the host or its wait is over. */
+	/** Long poll: resolves when there is an update for the host, or when its maximum wait has passed. */
 	watch(parameters: WatchParameters): Promise<WatchResult>;
-	/** Lets all waiting calls look again, shortly. */
+	/** Lets all waiting calls check for an update after a short delay. */
 	wake(): void;
-	/** This host stops: answers what waits and refuses further calls, so that hosts turn to another while their leases last. */
-	leave(): void;
+	/** For shutdown: answers all waiting calls and rejects new ones, so that hosts move to another control host before their leases expire. */
+	drain(): void;
 };
 
-/** Changes that come this close together go out in one answer. */
-const gatherMs = 10;
-/** A written snapshot serves until this many changes have come after it. */
+/** Changes that occur within this time are sent in one response. */
+const coalesceMs = 10;
+/** An encoded snapshot is reused until more than this many changes have followed it. */
 const maxChangesAfterSnapshot = 256;
 
-type WrittenSnapshot = {readonly revision: number; readonly catalog: Promise<string>};
+type EncodedSnapshot = {readonly revision: number; readonly catalog: Promise<string>};
 
-/** The hosts that wait at this control host for the next change. */
-export const createWatchHub = ({leaseMs, fold, replica, word}: WatchHubOptions): WatchHub => {
-	const waiting = new Set<() => void>();
-	let written: WrittenSnapshot | null = null;
-	let isWaking = false;
-	let isLeaving = false;
+/** Serves the hosts that wait at this control host for the next change. */
+export const createWatchHub = ({leaseMs, aggregator, replica, currentLeaderLease}: WatchHubOptions): WatchHub => {
+	const waiters = new Set<() => void>();
+	let cachedSnapshot: EncodedSnapshot | null = null;
+	let isWakeScheduled = false;
+	let isStopping = false;
 
-	const nextNews = async (waitMs: number): Promise<void> => new Promise(resolve => {
+	const nextWake = async (waitMs: number): Promise<void> => new Promise(resolve => {
 		const finish = (): void => {
 			clearTimeout(timer);
-			waiting.delete(finish);
+			waiters.delete(finish);
 			resolve();
 		};
 
 		const timer = setTimeout(finish, waitMs);
-		waiting.add(finish);
+		waiters.add(finish);
 	});
 
-	/** Writing a snapshot costs the whole catalog, so many hosts that need one share it. */
-	const sharedSnapshot = (): WrittenSnapshot => {
+	/** A snapshot encodes the complete catalog, so all hosts that need one share it. */
+	const sharedSnapshot = (): EncodedSnapshot => {
 		const {history, state} = replica();
-		const after = written === null ? null : changesSince(history, written.revision);
-		if (written === null || after === null || after.length > maxChangesAfterSnapshot) {
-			written = {revision: state.catalog.revision, catalog: encodeCatalog(state.catalog)};
+		const after = cachedSnapshot === null ? null : changesSince(history, cachedSnapshot.revision);
+		if (cachedSnapshot === null || after === null || after.length > maxChangesAfterSnapshot) {
+			cachedSnapshot = {revision: state.catalog.revision, catalog: encodeCatalog(state.catalog)};
 		}
 
-		return written;
+		return cachedSnapshot;
 	};
 
 	const answerFrom = (revision: number, arrivedAtMs: number): WatchResult | null => {
 		const {history, state: {catalog}} = replica();
 		const changes = changesSince(history, revision);
-		const given = word();
-		return changes === null || given === null
+		const grantedLease = currentLeaderLease();
+		return changes === null || grantedLease === null
 			? null
 			: {
-				type: 'changes', changes, revision: catalog.revision, digest: catalog.digest, leaseMs: grantedLeaseMs({word: given, hostLeaseMs: leaseMs, arrivedAtMs}),
+				type: 'changes', changes, revision: catalog.revision, digest: catalog.digest, leaseMs: grantedLeaseMs({word: grantedLease, hostLeaseMs: leaseMs, arrivedAtMs}),
 			};
 	};
 
@@ -74,17 +74,17 @@
 		const text = await catalog;
 		const after = answerFrom(revision, arrivedAtMs);
 		if (after?.type !== 'changes') {
-			throw new RpcError(rpcErrorCodes.noQuorum, 'this control host took over a snapshot meanwhile');
+			throw new RpcError(rpcErrorCodes.noQuorum, 'this control host installed a snapshot meanwhile');
 		}
 
 		return {...after, type: 'snapshot', catalog: text};
 	};
 
 	const decide = ({revision}: WatchParameters, arrivedAtMs: number): WatchDecision => decideWatch({
-		word: word(), ownRevision: replica().state.catalog.revision, hostRevision: revision, arrivedAtMs, nowMs: performance.now(),
+		word: currentLeaderLease(), ownRevision: replica().state.catalog.revision, hostRevision: revision, arrivedAtMs, nowMs: performance.now(),
 	});
 
-	const assertContact = (decision: WatchDecision): void => {
+	const assertQuorumContact = (decision: WatchDecision): void => {
 		if (decision === 'noContact') {
 			throw new RpcError(rpcErrorCodes.noQuorum, 'this control host is not in contact with a quorum');
 		}
@@ -95,32 +95,32 @@
 		const {revision, digest} = parameters;
 		const isDiverged = revision === catalog.revision && digest !== catalog.digest;
 		const result = (isDiverged ? null : answerFrom(revision, arrivedAtMs)) ?? await snapshotAnswer(arrivedAtMs);
-		assertContact(decide(parameters, arrivedAtMs));
+		assertQuorumContact(decide(parameters, arrivedAtMs));
 		return result;
 	};
 
-	const lookAgain = (): void => {
-		for (const finish of waiting) {
+	const wakeAll = (): void => {
+		for (const finish of waiters) {
 			finish();
 		}
 	};
 
 	return {
 		async watch(parameters) {
-			if (isLeaving) {
+			if (isStopping) {
 				throw new RpcError(rpcErrorCodes.noQuorum, 'this control host is stopping');
 			}
 
 			const arrivedAtMs = performance.now();
-			if (!hearWatch(fold, parameters, arrivedAtMs)) {
+			if (!hearWatch(aggregator, parameters, arrivedAtMs)) {
 				return {type: 'unknownHost'};
 			}
 
 			for (;;) {
 				const decision = decide(parameters, arrivedAtMs);
-				assertContact(decision);
+				assertQuorumContact(decision);
 				const {catalog} = replica().state;
-				const isOver = isLeaving || performance.now() >= arrivedAtMs + parameters.waitMs;
+				const isOver = isStopping || performance.now() >= arrivedAtMs + parameters.waitMs;
 				if (decision === 'answer' || (decision === 'hold' && (isOver || parameters.digest !== catalog.digest))) {
 					return answer(parameters, arrivedAtMs);
 				}
@@ -129,23 +129,23 @@
 					throw new RpcError(rpcErrorCodes.noQuorum, 'this control host lags behind its leader or the caller');
 				}
 
-				await nextNews(arrivedAtMs + parameters.waitMs - performance.now());
+				await nextWake(arrivedAtMs + parameters.waitMs - performance.now());
 			}
 		},
 		wake() {
-			if (isWaking) {
+			if (isWakeScheduled) {
 				return;
 			}
 
-			isWaking = true;
+			isWakeScheduled = true;
 			setTimeout(() => {
-				isWaking = false;
-				lookAgain();
-			}, gatherMs);
+				isWakeScheduled = false;
+				wakeAll();
+			}, coalesceMs);
 		},
-		leave() {
-			isLeaving = true;
-			lookAgain();
+		drain() {
+			isStopping = true;
+			wakeAll();
 		},
 	};
 };
--- a/packages/daemon/test/control-repair.test.ts
+++ b/packages/daemon/test/control-repair.test.ts
@@ -60,31 +60,31 @@
 
 const follower = (group: Group): string => group.voters().find(hostId => hostId !== group.leader()!.selfId)!;
 
-// Five control hosts with disks, three of them voters. A voter is lost for good;
-// a host that stands by takes its place. Then the leader is lost too. The
-// operator, who talks to a host that stood by, gets the next change accepted,
-// and the resend of an earlier one gets its first result.
-t.test('a second loss just after the repair', {timeout: 60_000}, async t => {
+// Five control hosts, three of them voters. After a permanently lost voter has
+// been replaced by a standby host, the leader is lost too. A former standby must
+// still accept the next change and answer a resent command with its first result.
+t.test('tolerates the loss of the leader right after a voter was replaced', {timeout: 60_000}, async t => {
 	const group = await createGroup(t, 5);
-	await waitUntil('two stand by as learners', async () => group.leader()?.members().learners.length === 2);
+	await waitUntil('the two standby hosts are learners', async () => group.leader()?.members().learners.length === 2);
 	const first = await accept(group.nodes.get('c5')!.address, 'first');
 	const lost = follower(group);
 	await group.stop(lost);
-	await waitUntil('it is replaced', async () => group.voters().length === 3 && !group.voters().includes(lost));
+	await waitUntil('the lost voter is replaced', async () => group.voters().length === 3 && !group.voters().includes(lost));
 	await group.stop(group.leader()!.selfId);
-	const asked = [...group.nodes.values()].at(-1)!.address;
-	await accept(asked, 'second');
-	t.same(await accept(asked, 'first'), first, 'the resend gets the first result');
+	const standbyAddress = [...group.nodes.values()].at(-1)!.address;
+	await accept(standbyAddress, 'second');
+	t.same(await accept(standbyAddress, 'first'), first, 'the resent command gets its first result');
 	await group.start(lost);
-	await waitUntil('the lost one stands by or votes again', async () => {
+	await waitUntil('the restarted host is a learner or a voter', async () => {
 		const {voters = [], learners = []} = group.leader()?.members() ?? {};
 		return [...voters, ...learners].some(id => hostOfMember(id) === lost);
 	});
 });
 
-// A voter loses its disk and restarts empty under its name, with no spare. It
-// comes back as another member, in the place of what it was.
-t.test('a voter that lost its disk', {timeout: 60_000}, async t => {
+// A voter loses its disk and restarts with an empty data folder under the same
+// host id, while there is no standby. It must rejoin as a new member that
+// replaces its former identity.
+t.test('a voter that lost its disk rejoins as a new member', {timeout: 60_000}, async t => {
 	const group = await createGroup(t, 3);
 	const lost = follower(group);
 	const before = group.nodes.get(lost)!.members().voters.find(id => hostOfMember(id) === lost)!;
@@ -92,14 +92,14 @@
 	await group.stop(lost);
 	await rm(group.folderOf(lost), {recursive: true});
 	await group.start(lost);
-	await waitUntil('it votes as another member', async () => group.voters().join(',') === 'c1,c2,c3' && !group.leader()!.members().voters.includes(before));
+	await waitUntil('it votes as a new member', async () => group.voters().join(',') === 'c1,c2,c3' && !group.leader()!.members().voters.includes(before));
 	await accept(group.nodes.get(lost)!.address, 'next');
 	t.equal((await propose(group.nodes.get(lost)!.address, 'kept')).type, 'accepted');
 });
 
-// All control hosts restart, after a snapshot. The resend of a command that was
-// accepted before, through any host, gets the first result and changes nothing.
-t.test('a resend after all control hosts restarted', {timeout: 60_000}, async t => {
+// All control hosts restart after a snapshot. A resent command that was accepted
+// before the restart must get its first result from any host and change nothing.
+t.test('a resent command gets its first result after all control hosts restarted', {timeout: 60_000}, async t => {
 	const group = await createGroup(t, 3, {snapshotEntries: 10});
 	const first = await accept(group.leader()!.address, 'once');
 	for (let index = 0; index < 25; index++) {
