--- a/packages/daemon/src/entry/admin-api.ts
+++ b/packages/daemon/src/entry/admin-api.ts
@@ -28,7 +28,7 @@
 
 export const adminPrefix = '/admin/v1/';
 export const commandsPath = `${adminPrefix}commands`;
-/** `GET` with a revision behind it: on how many hosts it is in force. */
+/** `GET` with a revision appended: on how many hosts that revision is in force. */
 export const inForcePrefix = `${adminPrefix}in-force/`;
 export const burnReportPath = `${adminPrefix}reports/burn`;
 
@@ -36,14 +36,14 @@
 	line: z.string().min(1).max(4096, 'expected at most 4096 characters'),
 	commandId: commandIdSchema.optional(),
 	ifRevision: z.number().int().nonnegative().optional(),
-	/** Answer when the change is in force on every host in service, or after this long. */
+	/** Delays the response until the change is in force on every host in service, for at most this long. */
 	waitMs: z.number().int().nonnegative().max(600_000).optional(),
 });
 type CommandBody = z.infer<typeof bodySchema>;
 
 const bodyLimitBytes = 16_384;
 
-/** An answer with an error, in the shape that all of the API's errors have. */
+/** An error response, in the format that all errors of the API have. */
 class AdminError extends Error {
 	override readonly name = 'AdminError';
 
@@ -59,7 +59,7 @@
 	.with({type: 'change'}, ({change}) => isAdministration(change) ? 'administer' as const : 'operate' as const)
 	.exhaustive();
 
-/** `POST /admin/v1/commands`, one line of the operators' language, and `GET /admin/v1/reports/burn`. */
+/** Handles `POST /admin/v1/commands`, with one line of the operators' language, `GET /admin/v1/in-force/` and `GET /admin/v1/reports/burn`. */
 export const createAdminHandler = ({configuration, peers, tokens}: AdminApiOptions) => {
 	const runLine = async (token: string, body: CommandBody): Promise<{status: number; body: unknown}> => {
 		const statement = parseLine(body.line);
@@ -86,7 +86,7 @@
 
 		const {answers, missingEntries} = await peers.requests(token, {type: 'inFlight'});
 		const rows = answers.flatMap(({records}) => records).map(record => requestRow(record, Date.now()));
-		return {revision: configuration.catalog().revision, rows: selectRows(rows, show.where), ...notHeard(missingEntries)};
+		return {revision: configuration.catalog().revision, rows: selectRows(rows, show.where), ...missingEntriesField(missingEntries)};
 	};
 
 	const explainRequestById = async (token: string, requestId: string): Promise<QueryResult> => {
@@ -127,8 +127,8 @@
 		});
 		const options: BurnReportOptions = {nowMs, objectives, missingEntries};
 		const rows: BurnRow[] = [];
-		for (const ofService of burnRowsByService(merge, options)) {
-			rows.push(...ofService);
+		for (const serviceRows of burnRowsByService(merge, options)) {
+			rows.push(...serviceRows);
 			await nextTurn();
 		}
 
@@ -155,8 +155,8 @@
 	};
 };
 
-/** Leaves the field out when every entry answered. */
-const notHeard = (missingEntries: readonly string[]): {missingEntries?: readonly string[]} => missingEntries.length === 0 ? {} : {missingEntries};
+/** Omits the field if every entry answered. */
+const missingEntriesField = (missingEntries: readonly string[]): {missingEntries?: readonly string[]} => missingEntries.length === 0 ? {} : {missingEntries};
 
 const parseLine = (line: string): Statement => parseStatement(line).caseOf({
 	Left(error) {
@@ -187,7 +187,7 @@
 };
 
 const sendAdminError = (response: http.ServerResponse, {status, type, message, place}: AdminError): void => {
-	// The rest of a refused body is not read: the connection cannot carry another request.
+	// The rest of a rejected body is not read, so the connection cannot be reused.
 	const headers: http.OutgoingHttpHeaders = status === 413 ? {connection: 'close'} : {};
 	sendJson(response, status, {error: {type, message, ...place}}, headers);
 };
--- a/packages/daemon/src/entry/admin-tokens.ts
+++ b/packages/daemon/src/entry/admin-tokens.ts
@@ -6,7 +6,7 @@
 
 export type AdminToken = {readonly role: AdminRole; readonly token: string};
 
-/** Compares digests, so that the time taken tells nothing about the token. */
+/** Compares digests in constant time, so that the duration reveals nothing about the token. */
 export const roleOfToken = (tokens: readonly AdminToken[], presented: string): AdminRole | null => {
 	const digest = new TextEncoder().encode(sha256(presented));
 	let role: AdminRole | null = null;
@@ -21,8 +21,8 @@
 
 export const mayAct = (role: AdminRole, needed: AdminRole): boolean => adminRoles.indexOf(role) >= adminRoles.indexOf(needed);
 
-/** The token that entries show each other: the one of them that may do least. */
+/** The token with which entries authenticate to each other: the one with the least privileged role. */
 export const exchangeToken = (tokens: readonly AdminToken[]): string => tokens.toSorted((a, b) => adminRoles.indexOf(a.role) - adminRoles.indexOf(b.role))[0]?.token ?? '';
 
-/** Entries without any token trust whoever reaches them. */
+/** An entry without any configured token accepts every caller. */
 export const isExchangeToken = (tokens: readonly AdminToken[], presented: string): boolean => tokens.length === 0 || roleOfToken(tokens, presented) !== null;
--- a/packages/daemon/src/entry/admission-verdict.ts
+++ b/packages/daemon/src/entry/admission-verdict.ts
@@ -2,7 +2,7 @@
 import {notRun, type NotRun} from '@bitternpaddle/state';
 import {match} from 'ts-pattern';
 
-/** What a caller is told whom admission refuses. */
+/** The verdict that a caller receives when admission refuses its request. */
 export const verdictOf = ({reason, retryAfterMs}: AdmissionRefusal): NotRun => match(reason)
 	.with('teamLimit', () => ({...notRun('the team has used up its share of the limit', retryAfterMs), isOverLimit: true}))
 	.with('teamQueueFull', () => notRun('too many requests of this team wait', retryAfterMs))
--- a/packages/daemon/src/entry/attempt-connection.ts
+++ b/packages/daemon/src/entry/attempt-connection.ts
@@ -12,52 +12,52 @@
 	callRpc, readBody, sendHttp, TransportError,
 } from '@bitternpaddle/transport';
 import type {Attempt} from './attempt.js';
-import {doorHeadersOf} from './door-headers.js';
+import {attemptHeadersOf} from './attempt-headers.js';
 
-const settleTimeoutMs = 2000;
-/** A request that is given up on gets its answer at once; an agent that is slow to settle does not hold it up. */
-const lastSettleTimeoutMs = 500;
-const refusalLimitBytes = 65_536;
+const resolveTimeoutMs = 2000;
+/** Shorter, so that an agent that is slow to resolve an attempt does not delay the response to a cancelled request. */
+const cancelTimeoutMs = 500;
+const maxRefusalBytes = 65_536;
 
-/** What a running attempt has open. */
-export type Running = {
+/** State and open connection of a running attempt. */
+export type RunningAttempt = {
 	readonly attempt: Attempt;
 	readonly state: AttemptState;
 	readonly hash: Hash;
 	connection: http.IncomingMessage | null;
-	parts: AsyncIterator<Buffer> | null;
+	partIterator: AsyncIterator<Buffer> | null;
 	lastPart: Buffer | null;
-	/** The agent said that the endpoint's process ended under the request. */
-	hasEndpointEnded: boolean;
+	/** The agent reported that the endpoint's process exited while it had the request. */
+	hasEndpointExited: boolean;
 };
 
-export const createRunning = (attempt: Attempt): Running => ({
-	attempt, state: createAttempt(), hash: createHash('sha256'), connection: null, parts: null, lastPart: null, hasEndpointEnded: false,
+export const createRunningAttempt = (attempt: Attempt): RunningAttempt => ({
+	attempt, state: createAttempt(), hash: createHash('sha256'), connection: null, partIterator: null, lastPart: null, hasEndpointExited: false,
 });
 
-/** Effects that talk to the door; the others are for whoever reads the answer. */
-export type DoorEffect = Exclude<AttemptEffect, {type: 'passOn' | 'read' | 'finish'}>;
+/** Effects that call the agent's request gate; the others are for the reader of the answer. */
+export type GateEffect = Exclude<AttemptEffect, {type: 'passOn' | 'read' | 'finish'}>;
 
-export const carryOut = async (running: Running, effect: DoorEffect): Promise<AttemptEvent> => {
-	// Whatever still comes on the connection before is nobody's.
+export const performEffect = async (running: RunningAttempt, effect: GateEffect): Promise<AttemptEvent> => {
+	// Discards whatever still arrives on the previous connection.
 	running.connection?.destroy();
 	running.connection = null;
 	const {attempt} = running;
 	if (effect.type === 'settle') {
-		return settle(attempt, effect.isCancel);
+		return resolveAttempt(attempt, effect.isCancel);
 	}
 
 	return effect.type === 'send'
 		? connect(running, {
-			method: attempt.method, path: `/door${attempt.path}`, headers: doorHeadersOf(attempt), body: attempt.body,
+			method: attempt.method, path: `/door${attempt.path}`, headers: attemptHeadersOf(attempt), body: attempt.body,
 		})
-		// An idle connection of the pool may be as silent as the one before.
+		// Not a pooled connection: an idle one may be as unresponsive as the previous one.
 		: connect(running, {
 			path: `/answers/${encodeURIComponent(attempt.attemptId)}?offset=${effect.offset}`, headers: {[incarnationHeader]: attempt.endpoint.incarnation}, agent: false,
 		});
 };
 
-type Connecting = {
+type ConnectOptions = {
 	readonly method?: string;
 	readonly path: string;
 	readonly headers: http.OutgoingHttpHeaders;
@@ -65,7 +65,7 @@
 	readonly agent?: false;
 };
 
-const connect = async (running: Running, options: Connecting): Promise<AttemptEvent> => {
+const connect = async (running: RunningAttempt, options: ConnectOptions): Promise<AttemptEvent> => {
 	const {endpoint, suspectMs, signal, requestId} = running.attempt;
 	try {
 		const connection = await sendHttp({
@@ -73,51 +73,52 @@
 		});
 		running.connection = connection;
 		running.attempt.peers?.note(connection.headers);
-		running.parts = (connection as AsyncIterable<Buffer>)[Symbol.asyncIterator]();
-		running.hasEndpointEnded ||= connection.headers[refusalHeader] === endedRefusal;
+		running.partIterator = (connection as AsyncIterable<Buffer>)[Symbol.asyncIterator]();
+		running.hasEndpointExited ||= connection.headers[refusalHeader] === endedRefusal;
 		const verdict = connection.headers[verdictHeader];
 		if (verdict === 'ran') {
 			return {type: 'head', isOwn: connection.headers[requestIdHeader] === requestId && isFromAdapter(running.attempt, connection.headers[adapterHeader])};
 		}
 
-		const reason = messageOf(await readBody(connection, refusalLimitBytes));
+		const reason = messageOf(await readBody(connection, maxRefusalBytes));
 		return verdict === 'notRun'
 			? {type: 'refused', verdict: notRun(reason), isFull: connection.headers[refusalHeader] === fullRefusal}
 			: {type: 'refused', verdict: mayHaveRun(reason), isFull: false};
 	} catch (error) {
-		return lossOf(running, error as Error);
+		return lossEventOf(running, error as Error);
 	}
 };
 
-/** Reads the next part into `lastPart`. */
-export const readPart = async (running: Running): Promise<AttemptEvent> => {
+/** Reads the next part of the answer into `lastPart`. */
+export const readPart = async (running: RunningAttempt): Promise<AttemptEvent> => {
 	try {
-		const next = await running.parts!.next();
+		const next = await running.partIterator!.next();
 		if (next.done) {
-			return {type: 'end', isWhole: isWhole(running)};
+			return {type: 'end', isWhole: isCompleteAnswer(running)};
 		}
 
 		running.lastPart = next.value;
 		running.hash.update(next.value);
 		return {type: 'part', sizeBytes: next.value.length};
 	} catch (error) {
-		return lossOf(running, error as Error);
+		return lossEventOf(running, error as Error);
 	}
 };
 
-const lossOf = ({attempt: {signal}}: Running, error: Error): AttemptEvent => signal.aborted
+const lossEventOf = ({attempt: {signal}}: RunningAttempt, error: Error): AttemptEvent => signal.aborted
 	? {type: 'gaveUp', cause: signal.reason as GiveUpCause}
 	: {type: 'connectionLost', isUnsent: error instanceof TransportError && error.isUnsent, reason: error.message};
 
 /**
- * Asks the door on a new connection what became of a request whose connection
- * failed or fell silent. If it had not started, the door bars it from now on;
- * without that, a late arrival would run after the caller was told "not run".
+ * Queries the agent's request gate on a new connection for the outcome of a
+ * request whose connection failed or became silent. If the request has not
+ * started, the gate bars it from then on; otherwise it could still arrive and
+ * run after the caller was told that it did not run.
  */
-export const settle = async ({endpoint, attemptId, issue}: Attempt, isCancel: boolean): Promise<AttemptEvent> => {
+export const resolveAttempt = async ({endpoint, attemptId, issue}: Attempt, isCancel: boolean): Promise<AttemptEvent> => {
 	try {
 		const {type} = await callRpc<SettleResult>({
-			address: endpoint.address, method: 'agent.settle', timeoutMs: isCancel ? lastSettleTimeoutMs : settleTimeoutMs, agent: false,
+			address: endpoint.address, method: 'agent.settle', timeoutMs: isCancel ? cancelTimeoutMs : resolveTimeoutMs, agent: false,
 			params: {
 				attemptId, incarnation: endpoint.incarnation, issue, isCancel,
 			},
@@ -136,8 +137,8 @@
 	}
 };
 
-/** Whether the answer that has just ended is whole and belongs to this request. */
-const isWhole = ({attempt, connection, state, hash}: Running): boolean => {
+/** Whether the answer that has just ended is complete and belongs to this request. */
+const isCompleteAnswer = ({attempt, connection, state, hash}: RunningAttempt): boolean => {
 	const {requestId, endpoint} = attempt;
 	const trailer = connection!.trailers[endMarkerTrailer];
 	if (!connection!.complete || trailer === undefined) {
@@ -153,7 +154,7 @@
 		&& marker.data.digest === hash.digest('hex');
 };
 
-/** A base that answers in place of an adapter looks like a whole answer; only its tag tells. */
+/** An answer of the base model in place of an adapter looks complete; only its tag shows the difference. */
 const isFromAdapter = ({adapterTag = null}: Attempt, answeredTag: unknown): boolean => (answeredTag ?? null) === adapterTag;
 
 const parseJson = (text: string): unknown => {
--- a/packages/daemon/src/entry/door-headers.ts
+++ b/packages/daemon/src/entry/attempt-headers.ts
@@ -4,8 +4,8 @@
 } from '@bitternpaddle/protocol';
 import type {Attempt} from './attempt.js';
 
-/** What a door must know of a request before it may start it. */
-export const doorHeadersOf = (attempt: Attempt): http.OutgoingHttpHeaders => ({
+/** Headers that the request gate needs before it may start a request. */
+export const attemptHeadersOf = (attempt: Attempt): http.OutgoingHttpHeaders => ({
 	'content-type': attempt.contentType,
 	[requestIdHeader]: attempt.requestId,
 	[attemptHeader]: attempt.attemptId,
--- a/packages/daemon/src/entry/call.ts
+++ b/packages/daemon/src/entry/call.ts
@@ -4,7 +4,7 @@
 import type {ErrorBody} from '@bitternpaddle/protocol';
 import type {RequestTrace} from './request-log.js';
 
-/** One caller's request as it passes through the entry. */
+/** One caller's request while the entry processes it. */
 export type Call = {
 	readonly requestId: string;
 	readonly teamId: string;
@@ -16,24 +16,24 @@
 	readonly idempotencyKey: string | null;
 	readonly isStream: boolean;
 	readonly response: http.ServerResponse;
-	/** Aborted, with a `GiveUpCause` as its reason, once nobody wants the answer any more. */
+	/** Aborted, with a `GiveUpCause` as its reason, once the answer is no longer needed. */
 	readonly abort: AbortController;
-	/** When the answer must have begun, on the clock of `performance.now()`. */
+	/** Time by which the answer must have begun, on the clock of `performance.now()`. */
 	readonly deadlineAtMs: number;
-	/** When the answer must have ended; the same as `deadlineAtMs` if the caller gave a deadline. */
+	/** Time by which the answer must have ended; equal to `deadlineAtMs` if the caller gave a deadline. */
 	readonly endAtMs: number;
 	/** The service declares that its calls may not be repeated. */
 	readonly isOnce: boolean;
-	/** Expected tokens of prompt and answer; 1 for a plain service. */
+	/** Expected tokens, in units of decoded tokens: the prompt is discounted; 1 for a plain service. */
 	readonly cost: number;
 	/** 0 to 3; 0 is the most urgent. */
 	readonly priority: number;
-	/** Start of a long prompt, so that requests that share it go to the same endpoint; `null` for others. */
+	/** Beginning of a long prompt, used to route requests with the same prefix to the same endpoint; `null` for other requests. */
 	readonly prefixKey: string | null;
 	readonly trace: RequestTrace;
 };
 
-/** A request that is wrong in itself, so that no endpoint need be asked. */
+/** The response to an invalid request, which is sent to no endpoint. */
 export type Refusal = {readonly status: number; readonly type: ErrorBody['error']['type']; readonly message: string};
 
 export class RefusedError extends Error {
--- a/packages/daemon/src/entry/count-burn.ts
+++ b/packages/daemon/src/entry/count-burn.ts
@@ -2,7 +2,7 @@
 import type {RequestRecord} from '@bitternpaddle/protocol';
 import {defaultObjective, modelOfVersion, type Catalog} from '@bitternpaddle/state';
 
-/** Which service's hosts carry each model; built once per revision. */
+/** Maps each model to the service whose hosts serve it; built once per revision. */
 export const servicesOfModels = (catalog: Catalog): Map<string, string> => {
 	const services = new Map<string, string>();
 	for (const {announcement, assignment} of Object.values(catalog.hosts)) {
@@ -14,7 +14,7 @@
 	return services;
 };
 
-/** A model that no host carries counts under its own name. */
+/** A model that no host serves is counted under its own name. */
 export const serviceOfTarget = (services: ReadonlyMap<string, string>, target: RouteTarget): string => target.type === 'service'
 	? target.serviceId
 	: services.get(target.modelId) ?? target.modelId;
@@ -23,14 +23,14 @@
 const firstClientErrorStatus = 400;
 
 /**
- * Counts a request that has ended towards its service's objectives. Not
- * counted: what the caller gave up or sent wrong (4xx), since the service owed
- * no answer there.
+ * Counts a request that has ended towards its service's objectives. Requests
+ * that the caller abandoned or that were invalid (4xx) are not counted, since
+ * the service owed no answer to them.
  */
 export const countRequest = (counter: BurnCounter, catalog: Catalog, record: RequestRecord): void => {
 	const status = record.status ?? 0;
-	const isCallersDoing = record.state === 'abandoned' || (record.state === 'answered' && status >= firstClientErrorStatus && status < firstServerErrorStatus);
-	if (isCallersDoing) {
+	const isCallerFault = record.state === 'abandoned' || (record.state === 'answered' && status >= firstClientErrorStatus && status < firstServerErrorStatus);
+	if (isCallerFault) {
 		return;
 	}
 
--- a/packages/daemon/src/entry/create-entry-node.ts
+++ b/packages/daemon/src/entry/create-entry-node.ts
@@ -22,21 +22,21 @@
 	/** @default '127.0.0.1:0' */
 	readonly listen?: string;
 	readonly adminTokens?: readonly AdminToken[];
-	/** Requests that this entry carries at once; more are refused. @default 4096 */
+	/** Requests that this entry processes concurrently; further ones are refused. @default 4096 */
 	readonly maxRequests?: number;
 	/** @default 30000 */
 	readonly defaultDeadlineMs?: number;
 	/** @default 3 */
 	readonly maxAttempts?: number;
-	/** A connection to an agent without a byte for this long is settled on another. @default 2000 */
+	/** If a connection to an agent carries no byte for this long, the attempt is resolved on another connection. @default 2000 */
 	readonly suspectMs?: number;
 	/** @default 'zone-1' */
 	readonly zoneId?: string;
 	/** @default 'region-1' */
 	readonly regionId?: string;
-	/** Limits and bounds of the queues. @default {} */
+	/** Rate limits and queue bounds of admission. @default {} */
 	readonly limits?: AdmissionOptions;
-	/** What this host holds for its callers at most. @default {} */
+	/** Resource limits of this host's server. @default {} */
 	readonly serverLimits?: ServerLimits;
 	readonly logger?: Logger;
 	readonly metrics?: Metrics;
@@ -45,9 +45,9 @@
 export type EntryNode = {
 	readonly entryId: string;
 	readonly address: string;
-	/** The configuration that this entry acts on now. */
+	/** The configuration that this entry uses now. */
 	inForce(): ConfigurationInForce;
-	/** Graceful: refuses new work, finishes what runs, ends. */
+	/** Graceful shutdown: refuses new requests, finishes running ones, then exits. */
 	stop(): Promise<void>;
 	kill(): Promise<void>;
 };
@@ -56,7 +56,7 @@
 const sharesTimeoutMs = 900;
 const crashesTimeoutMs = 900;
 
-/** One entry host: what callers and operators talk to. */
+/** One entry host, which serves callers and operators. */
 export const createEntryNode = async (options: EntryNodeOptions): Promise<EntryNode> => {
 	const {
 		entryId, controls, listen = '127.0.0.1:0', adminTokens = [], maxRequests = 4096, defaultDeadlineMs = 30_000, maxAttempts = 3, suspectMs = 2000,
@@ -121,13 +121,13 @@
 			const {rows} = await configuration.query({type: 'show', subject: 'hosts', where: [{field: 'role', operator: '=', value: 'entry'}]});
 			return new Map(rows.map(({host, address}) => [String(host), String(address)]));
 		},
-		async askShares(address, request) {
+		async requestShares(address, request) {
 			const answer = await callRpc<unknown>({
 				address, method: 'entry.shares', params: {token: exchangeToken(adminTokens), request}, timeoutMs: sharesTimeoutMs,
 			});
 			return entrySharesAnswerSchema.parse(answer);
 		},
-		async askLoad(address) {
+		async requestLoad(address) {
 			const answer = await callRpc<unknown>({
 				address, method: 'agent.load', params: {}, timeoutMs: probeTimeoutMs,
 			});
@@ -140,9 +140,9 @@
 			const {rows} = await configuration.query({type: 'show', subject: 'hosts', where: [{field: 'role', operator: '=', value: 'entry'}]});
 			return rows.filter(({host}) => host !== entryId).map(({address}) => String(address));
 		},
-		async tell(address, news) {
+		async send(address, crashUpdate) {
 			await callRpc<unknown>({
-				address, method: 'entry.crashes', params: {token: exchangeToken(adminTokens), ...news}, timeoutMs: crashesTimeoutMs,
+				address, method: 'entry.crashes', params: {token: exchangeToken(adminTokens), ...crashUpdate}, timeoutMs: crashesTimeoutMs,
 			});
 		},
 	});
@@ -154,7 +154,7 @@
 	const handleAdmin = createAdminHandler({configuration, peers: createEntryPeers(configuration), tokens: adminTokens});
 	const entryRpc = createEntryRpc({
 		entryId, tokens: adminTokens, counter: burnCounter, requests: requestLog, answerShares: request => traffic.answerShares(request),
-		hearCrashes: quarantine.hear,
+		receiveCrashUpdate: quarantine.receive,
 	});
 
 	return {
--- a/packages/daemon/src/entry/dispatch.ts
+++ b/packages/daemon/src/entry/dispatch.ts
@@ -6,45 +6,45 @@
 import {mayHaveRun, type ClaimPlace, type UnansweredVerdict} from '@bitternpaddle/state';
 import type {Attempt} from './attempt.js';
 import {
-	carryOut, createRunning, readPart, settle, type Running,
+	performEffect, createRunningAttempt, readPart, resolveAttempt, type RunningAttempt,
 } from './attempt-connection.js';
 
 export type {Attempt} from './attempt.js';
 
-/** An answer whose head is here; `parts` gives the rest, over as many connections as it takes. */
+/** An answer whose head has been received; `parts` yields its body, over as many connections as it takes. */
 export type AttemptAnswer = {
 	readonly status: number;
 	readonly headers: http.IncomingHttpHeaders;
-	/** Ends only if the answer is whole and this request's own; throws `BrokenAnswerError` if not. */
+	/** Ends normally only if the answer is complete and belongs to this request; otherwise throws `BrokenAnswerError`. */
 	parts(): AsyncGenerator<Buffer, void>;
-	/** Says whether silence counts: it does not while a slow caller holds the reading up. */
+	/** Turns the idle timeout of the connection on or off; it is off while a slow caller blocks the reading. */
 	watch(isWatched: boolean): void;
-	/** Whether the endpoint's process ended before the answer was whole. */
+	/** Whether the endpoint's process exited before the answer was complete. */
 	hasEndpointEnded(): boolean;
 };
 
 export type AttemptOutcome
 	= | {readonly type: 'answer'; readonly answer: AttemptAnswer}
-		| {readonly type: 'verdict'; readonly verdict: UnansweredVerdict; readonly cause: UnansweredCause; readonly hasEndpointEnded: boolean};
+		| {readonly type: 'verdict'; readonly verdict: UnansweredVerdict; readonly cause: UnansweredCause; readonly hasEndpointExited: boolean};
 
 export class BrokenAnswerError extends Error {
 	override readonly name = 'BrokenAnswerError';
 }
 
-/** Sends a request to one endpoint's door; resolves with the answer's head or with what became of the request. */
+/** Sends a request to the request gate of one endpoint; resolves with the answer once its head has been received, or with the verdict on the request. */
 export const dispatch = async (attempt: Attempt): Promise<AttemptOutcome> => {
-	const running = createRunning(attempt);
-	const effect = await runUntil(running, firstEffect);
+	const running = createRunningAttempt(attempt);
+	const effect = await runEffects(running, firstEffect);
 	if (effect.type === 'passOn') {
 		return {type: 'answer', answer: createAnswer(running)};
 	}
 
 	const {end} = effect as Extract<AttemptEffect, {type: 'finish'}>;
-	const {hasEndpointEnded} = running;
+	const {hasEndpointExited} = running;
 	return end.type === 'verdict'
-		? {...end, hasEndpointEnded}
+		? {...end, hasEndpointExited}
 		: {
-			type: 'verdict', verdict: mayHaveRun('the answer was not whole'), cause: 'lost', hasEndpointEnded,
+			type: 'verdict', verdict: mayHaveRun('the answer was not complete'), cause: 'lost', hasEndpointExited,
 		};
 };
 
@@ -55,36 +55,36 @@
 	readonly signal: AbortSignal;
 };
 
-export type Recovered
+export type RecoveryResult
 	= | {readonly type: 'answer'; readonly answer: AttemptAnswer}
 		| {readonly type: 'running' | 'notRun' | 'unknown' | 'unreachable'};
 
-/** Finds out what became of an attempt that another entry, perhaps dead by now, dispatched; reads its answer if it has one. */
-export const recover = async ({place, requestId, suspectMs, signal}: RecoverOptions): Promise<Recovered> => {
+/** Resolves an attempt that another entry, which may have died since, dispatched; reads its answer if there is one. */
+export const recover = async ({place, requestId, suspectMs, signal}: RecoverOptions): Promise<RecoveryResult> => {
 	const attempt: Attempt = {
 		requestId, suspectMs, signal, attemptId: place.attemptId, issue: place.issue, endpoint: {...place, versionId: null},
 		revision: 0, method: 'GET', path: '', contentType: '', body: Buffer.alloc(0), idempotencyKey: null, isOnce: true, remainingMs: 0,
 	};
-	const settled = await settle(attempt, false);
-	if (settled.type !== 'settled') {
+	const resolution = await resolveAttempt(attempt, false);
+	if (resolution.type !== 'settled') {
 		return {type: 'unreachable'};
 	}
 
-	if (settled.result !== 'ran') {
-		return {type: settled.result};
+	if (resolution.result !== 'ran') {
+		return {type: resolution.result};
 	}
 
-	const running = createRunning(attempt);
-	const effect = await runUntil(running, {type: 'resume', offset: 0});
+	const running = createRunningAttempt(attempt);
+	const effect = await runEffects(running, {type: 'resume', offset: 0});
 	return effect.type === 'passOn' ? {type: 'answer', answer: createAnswer(running)} : {type: 'unknown'};
 };
 
-const createAnswer = (running: Running): AttemptAnswer => {
+const createAnswer = (running: RunningAttempt): AttemptAnswer => {
 	const {statusCode, headers} = running.connection!;
 	return {
 		status: statusCode!, headers,
 		parts: () => readParts(running),
-		hasEndpointEnded: () => running.hasEndpointEnded,
+		hasEndpointEnded: () => running.hasEndpointExited,
 		watch(isWatched) {
 			if (running.connection?.complete === false) {
 				running.connection.socket.setTimeout(isWatched ? running.attempt.suspectMs : 0);
@@ -93,16 +93,16 @@
 	};
 };
 
-async function * readParts(running: Running): AsyncGenerator<Buffer, void> {
+async function * readParts(running: RunningAttempt): AsyncGenerator<Buffer, void> {
 	let event = await readPart(running);
 	for (;;) {
 		if (event.type === 'part') {
 			yield running.lastPart!;
 		}
 
-		const effect = await runUntil(running, stepAttempt(running.state, event));
+		const effect = await runEffects(running, stepAttempt(running.state, event));
 		if (effect.type === 'finish') {
-			assertWhole(effect.end);
+			assertComplete(effect.end);
 			return;
 		}
 
@@ -110,14 +110,14 @@
 	}
 }
 
-const assertWhole = (end: AttemptEnd): void => {
+const assertComplete = (end: AttemptEnd): void => {
 	if (end.type !== 'whole') {
 		throw new BrokenAnswerError(end.type === 'broken' ? end.reason : end.verdict.reason);
 	}
 };
 
-/** Carries out effects until one needs whoever reads the answer: `passOn`, `read` or `finish`. */
-const runUntil = async (running: Running, first: AttemptEffect): Promise<AttemptEffect> => {
+/** Performs effects until one is for the reader of the answer: `passOn`, `read` or `finish`. */
+const runEffects = async (running: RunningAttempt, first: AttemptEffect): Promise<AttemptEffect> => {
 	let effect = first;
 	for (;;) {
 		if (effect.type === 'passOn' || effect.type === 'read') {
@@ -132,7 +132,7 @@
 			return effect;
 		}
 
-		effect = stepAttempt(running.state, await carryOut(running, effect));
+		effect = stepAttempt(running.state, await performEffect(running, effect));
 	}
 };
 
--- a/packages/daemon/src/entry/entry-peers.ts
+++ b/packages/daemon/src/entry/entry-peers.ts
@@ -12,7 +12,7 @@
 import type {ConfigurationClient} from '../host/configuration-client.js';
 import {isExchangeToken, roleOfToken, type AdminToken} from './admin-tokens.js';
 import type {RequestLog} from './request-log.js';
-import type {CrashNews} from './request-quarantine.js';
+import type {CrashUpdate} from './request-quarantine.js';
 
 export type EntryRpcOptions = {
 	readonly entryId: string;
@@ -20,15 +20,15 @@
 	readonly counter: BurnCounter;
 	readonly requests: RequestLog;
 	answerShares(request: ShareRequest): ShareAnswer;
-	/** Takes what another entry saw of requests that end endpoints. */
-	hearCrashes(news: CrashNews): void;
+	/** Processes another entry's update on requests that crash endpoints. */
+	receiveCrashUpdate(update: CrashUpdate): void;
 };
 
 const parameterLimitBytes = 16_384;
 
-/** What one entry answers to the others. */
-export const createEntryRpc = ({entryId, tokens, counter, requests, answerShares, hearCrashes}: EntryRpcOptions): RpcServer => {
-	// Callers reach this port too: without the operator's token, anybody could read who calls what.
+/** The RPC methods that an entry offers to other entries. */
+export const createEntryRpc = ({entryId, tokens, counter, requests, answerShares, receiveCrashUpdate}: EntryRpcOptions): RpcServer => {
+	// Callers can reach this port too: without the token check, anybody could read who calls what.
 	const assertOperator = (token: string): void => {
 		if (roleOfToken(tokens, token) === null) {
 			throw new RpcError(rpcErrorCodes.unauthorized, 'this entry does not know the administration token');
@@ -51,65 +51,66 @@
 
 		return answerShares(request);
 	});
-	rpc.method('entry.crashes', entryCrashesParametersSchema, ({token, ...news}) => {
+	rpc.method('entry.crashes', entryCrashesParametersSchema, ({token, ...update}) => {
 		if (!isExchangeToken(tokens, token)) {
 			throw new RpcError(rpcErrorCodes.unauthorized, 'this entry does not know the token');
 		}
 
-		hearCrashes(news);
+		receiveCrashUpdate(update);
 		return {};
 	});
 	return rpc;
 };
 
-/** The answers of all entries that gave one. */
-export type Gathered<Answer> = {readonly answers: Answer[]; readonly missingEntries: string[]};
+/** The answers of all entries that responded, and the entries that did not. */
+export type GatheredAnswers<Answer> = {readonly answers: Answer[]; readonly missingEntries: string[]};
 
 export type EntryPeers = {
-	/** Hands over each answer as it comes, and the next one of the same lane only when it was taken; resolves with the entries that gave none. */
-	burn(token: string, nowMs: number, take: (answer: BurnAnswer) => Promise<void>): Promise<string[]>;
-	requests(token: string, selection: RequestSelection): Promise<Gathered<RequestsAnswer>>;
+	/** Passes on each answer as it arrives, and requests a further entry in its place only once `onAnswer` has resolved. Resolves with the entries that gave none. */
+	burn(token: string, nowMs: number, onAnswer: (answer: BurnAnswer) => Promise<void>): Promise<string[]>;
+	requests(token: string, selection: RequestSelection): Promise<GatheredAnswers<RequestsAnswer>>;
 };
 
 export type EntryPeersOptions = {
-	/** How long an entry may be silent. @default 3000 */
+	/** How long an entry may send no data. @default 3000 */
 	readonly silentMs?: number;
-	/** How long an entry's whole answer may take. @default 8000 */
+	/** How long an entry's complete answer may take. @default 8000 */
 	readonly answerMs?: number;
-	/** After this no further entry is asked; an operator's program waits for 30 s. @default 20000 */
+	/** Time after which no further entry is requested; an operator's program waits for 30 s. @default 20000 */
 	readonly totalMs?: number;
-	/** Entries that are asked side by side. @default 8 */
+	/** Entries that are requested concurrently. @default 8 */
 	readonly lanes?: number;
 };
 
-/** Above what an entry with the most pairs of service and team sends. */
+/** More than an entry with the maximum number of service and team pairs sends. */
 const answerLimitBytes = 32 * 1024 * 1024;
 
 /**
- * Asks every entry that control has heard of lately, this one included. All
- * at once, hundreds of answers would lie in memory together. An entry that
- * sends a byte now and then is no more use to the report than a silent one.
+ * Sends a request to every entry that control lists as live, including this one.
+ * Concurrency is limited because hundreds of answers would otherwise be held
+ * in memory at once. The time for a complete answer is limited too, because an
+ * entry that sends a byte now and then is as useless to the report as a silent one.
  */
 export const createEntryPeers = (configuration: Pick<ConfigurationClient, 'query'>, options: EntryPeersOptions = {}): EntryPeers => {
 	const {
 		silentMs = 3000, answerMs = 8000, totalMs = 20_000, lanes = 8,
 	} = options;
 
-	const gather = async <Schema extends z.ZodType>(method: string, schema: Schema, parameters: object, take: (answer: z.output<Schema>) => Promise<void>): Promise<string[]> => {
+	const gather = async <Schema extends z.ZodType>(method: string, schema: Schema, parameters: object, onAnswer: (answer: z.output<Schema>) => Promise<void>): Promise<string[]> => {
 		const {rows} = await configuration.query({type: 'show', subject: 'hosts', where: [{field: 'role', operator: '=', value: 'entry'}]});
 		const untilMs = performance.now() + totalMs;
 		const missingEntries: string[] = [];
-		const waiting = rows.values();
+		const remainingRows = rows.values();
 
-		const ask = async (address: string): Promise<z.output<Schema> | null> => {
-			const leftMs = Math.ceil(Math.min(answerMs, untilMs - performance.now()));
-			if (leftMs <= 0) {
+		const requestFrom = async (address: string): Promise<z.output<Schema> | null> => {
+			const callTimeoutMs = Math.ceil(Math.min(answerMs, untilMs - performance.now()));
+			if (callTimeoutMs <= 0) {
 				return null;
 			}
 
 			try {
 				return schema.parse(await callRpc<unknown>({
-					address, method, params: parameters, timeoutMs: silentMs, signal: AbortSignal.timeout(leftMs), answerLimitBytes,
+					address, method, params: parameters, timeoutMs: silentMs, signal: AbortSignal.timeout(callTimeoutMs), answerLimitBytes,
 				}));
 			} catch {
 				return null;
@@ -117,12 +118,12 @@
 		};
 
 		await Promise.all(Array.from({length: lanes}, async () => {
-			for (const {host, address} of waiting) {
-				const answer = await ask(String(address));
+			for (const {host, address} of remainingRows) {
+				const answer = await requestFrom(String(address));
 				if (answer === null) {
 					missingEntries.push(String(host));
 				} else {
-					await take(answer);
+					await onAnswer(answer);
 				}
 			}
 		}));
@@ -130,7 +131,7 @@
 	};
 
 	return {
-		burn: async (token, nowMs, take) => gather('entry.burn', burnAnswerSchema, {token, nowMs}, take),
+		burn: async (token, nowMs, onAnswer) => gather('entry.burn', burnAnswerSchema, {token, nowMs}, onAnswer),
 		async requests(token, selection) {
 			const answers: RequestsAnswer[] = [];
 			const missingEntries = await gather('entry.requests', requestsAnswerSchema, {token, selection}, async answer => {
--- a/packages/daemon/src/entry/explain.ts
+++ b/packages/daemon/src/entry/explain.ts
@@ -3,26 +3,26 @@
 
 const row = (afterMs: number | null, event: string, detail: string): QueryRow => ({afterMs, event, detail});
 
-const outcomeOf = ({verdict, reason, endedAfterMs, startedAfterMs}: AttemptRecord): string => {
+const attemptOutcomeOf = ({verdict, reason, endedAfterMs, startedAfterMs}: AttemptRecord): string => {
 	if (endedAfterMs === null) {
-		return 'at work';
+		return 'in progress';
 	}
 
 	const tookMs = endedAfterMs - startedAfterMs;
 	return verdict === 'ran' ? `answers after ${tookMs} ms` : `${verdict} after ${tookMs} ms: ${reason}`;
 };
 
-const endOf = ({state, status, verdict, reason, versionId}: RequestRecord): string => {
+const requestOutcomeOf = ({state, status, verdict, reason, versionId}: RequestRecord): string => {
 	const what = [state, status === null ? null : `status ${status}`, versionId === null ? null : `version ${versionId}`, verdict, reason];
 	return what.filter(part => part !== null).join(', ');
 };
 
-/** What an entry knows of one request, in the order of events. */
+/** The events of one request that an entry has recorded, in order. */
 export const explainRequest = (record: RequestRecord): QueryRow[] => [
 	row(0, 'arrived', `at ${record.entryId}, ${new Date(record.arrivedAtMs).toISOString()}, team ${record.teamId}, for ${record.target} (service ${record.serviceId})`),
-	...record.attempts.map(attempt => row(attempt.startedAfterMs, `attempt ${attempt.number}`, `host ${attempt.hostId}: ${outcomeOf(attempt)}`)),
+	...record.attempts.map(attempt => row(attempt.startedAfterMs, `attempt ${attempt.number}`, `host ${attempt.hostId}: ${attemptOutcomeOf(attempt)}`)),
 	...(record.firstByteAfterMs === null ? [] : [row(record.firstByteAfterMs, 'first byte', 'of the answer')]),
-	row(record.endedAfterMs, record.endedAfterMs === null ? 'in flight' : 'ended', endOf(record)),
+	row(record.endedAfterMs, record.endedAfterMs === null ? 'in flight' : 'ended', requestOutcomeOf(record)),
 ];
 
 export const requestRow = (record: RequestRecord, nowMs: number): QueryRow => ({
@@ -41,7 +41,7 @@
 type Finding = {readonly aspect: string; readonly isFine: boolean; readonly finding: string};
 
 const leaseFinding = ({hostRow}: ReplicaView): Finding => hostRow?.status === 'silent'
-	? {aspect: 'lease', isFine: false, finding: 'control has not heard from the host for longer than a lease: it refuses new work'}
+	? {aspect: 'lease', isFine: false, finding: 'control has received no report from the host for longer than a lease: the host refuses new requests'}
 	: {aspect: 'lease', isFine: true, finding: 'renewed'};
 
 const revisionFinding = ({catalog, hostRow}: ReplicaView): Finding => {
@@ -57,7 +57,7 @@
 
 const assignmentFinding = ({announcement, assignment}: HostRecord): Finding => {
 	if (announcement.kind === 'plain') {
-		return {aspect: 'assignment', isFine: true, finding: `plain service ${announcement.serviceId}, needs none`};
+		return {aspect: 'assignment', isFine: true, finding: `plain service ${announcement.serviceId}, needs no assignment`};
 	}
 
 	return assignment === null
@@ -87,7 +87,7 @@
 		aspect: 'adapters', isFine: missing.length === 0 && surplus.length === 0,
 		finding: [
 			`the engine holds ${readyAdapterIds.join(', ') || 'none'} beside ${readyVersionId ?? 'no version'}`,
-			...(missing.length === 0 ? [] : [`${missing.join(', ')} ordered for ${assignment!.versionId} and not there`]),
+			...(missing.length === 0 ? [] : [`${missing.join(', ')} ordered for ${assignment!.versionId} and not loaded`]),
 			...(surplus.length === 0 ? [] : [`${surplus.join(', ')} not ordered`]),
 		].join('; '),
 	};
@@ -99,7 +99,7 @@
 		+ (transfer.detail === '' || transfer.detail === null ? '' : `; last: ${String(transfer.detail)}`),
 });
 
-/** Why a replica serves or does not: every condition that the path of a request checks. */
+/** Explains why a replica serves or does not, by every condition that a request is checked against. */
 export const explainReplica = (view: ReplicaView): QueryRow[] => {
 	const host = view.catalog.hosts[view.hostId];
 	if (host === undefined) {
@@ -115,10 +115,10 @@
 		adaptersFinding(view.catalog, host),
 		...view.transferRows.map(transfer => transferFinding(transfer)),
 	].filter(finding => finding !== null);
-	const wrong = findings.filter(({isFine}) => !isFine).map(({aspect}) => aspect);
-	const verdict = wrong.length === 0 ? 'yes' : `no, or not for long: look at ${wrong.join(', ')}`;
+	const failedAspects = findings.filter(({isFine}) => !isFine).map(({aspect}) => aspect);
+	const verdict = failedAspects.length === 0 ? 'yes' : `no, or not for long: look at ${failedAspects.join(', ')}`;
 	return [
-		{aspect: 'serving', fine: wrong.length === 0, finding: verdict},
+		{aspect: 'serving', fine: failedAspects.length === 0, finding: verdict},
 		...findings.map(({aspect, isFine, finding}) => ({aspect, fine: isFine, finding})),
 	];
 };
--- a/packages/daemon/src/entry/fleet-outcomes.ts
+++ b/packages/daemon/src/entry/fleet-outcomes.ts
@@ -1,9 +1,9 @@
 import type {HostReport} from '@bitternpaddle/protocol';
 import {BrokenAnswerError, type AttemptAnswer, type AttemptOutcome} from './dispatch.js';
 
-/** What this entry's attempts came to, by fleet, since it started. A move in steps is stopped by it. */
+/** Outcomes of this entry's attempts since its start, by fleet. Control halts a rollout on the basis of these counts. */
 export type FleetOutcomes = {
-	/** Counts the attempt once its outcome is known: an answer's only at its end, since a cut one begins like a whole one. */
+	/** Counts the attempt once its outcome is known. An answer is counted only at its end, since a truncated one begins like a complete one. */
 	watch(fleetId: string | null, outcome: AttemptOutcome): AttemptOutcome;
 	list(): NonNullable<HostReport['fleetOutcomes']>;
 };
@@ -41,7 +41,7 @@
 				return {...outcome, answer: {...answer, parts: () => watchParts(fleetId, answer)}};
 			}
 
-			// What did not run is tried elsewhere; a lost endpoint is also missed by control.
+			// A request that did not run is retried at another endpoint; control detects a lost endpoint itself.
 			if (outcome.verdict.type === 'mayHaveRun') {
 				count(fleetId, 'failed');
 			}
--- a/packages/daemon/src/entry/in-force.ts
+++ b/packages/daemon/src/entry/in-force.ts
@@ -2,21 +2,21 @@
 import type {InForceResult} from '@bitternpaddle/protocol';
 import type {ConfigurationClient} from '../host/configuration-client.js';
 
-const pollMs = 200;
+const pollIntervalMs = 200;
 
 /**
- * On how many hosts an accepted revision is in force: at once, or when no host
- * in service lacks it, or when `waitMs` is over. `null` if the leader could
- * not be asked; the change is accepted all the same.
+ * Reports on how many hosts an accepted revision is in force. Resolves when no
+ * host in service lacks it, or when `waitMs` has passed; immediately if that is
+ * 0. `null` if the leader could not be reached; the change is accepted anyway.
  */
 export const inForceAfter = async (configuration: ConfigurationClient, revision: number, waitMs: number): Promise<InForceResult | null> => {
 	const untilMs = performance.now() + waitMs;
 	for (;;) {
-		const spread = await configuration.spread(revision).catch(() => null);
-		if (spread?.missing.length === 0 || performance.now() + pollMs > untilMs) {
-			return spread;
+		const status = await configuration.spread(revision).catch(() => null);
+		if (status?.missing.length === 0 || performance.now() + pollIntervalMs > untilMs) {
+			return status;
 		}
 
-		await delay(pollMs);
+		await delay(pollIntervalMs);
 	}
 };
--- a/packages/daemon/src/entry/limit-shares.ts
+++ b/packages/daemon/src/entry/limit-shares.ts
@@ -3,19 +3,19 @@
 	type AdmissionState, type ShareAnswer, type ShareAsk, type ShareRequest,
 } from '@bitternpaddle/coordination';
 
-/** Address by entry. */
+/** Addresses by entry id. */
 export type EntryAddresses = ReadonlyMap<string, string>;
 
 export type LimitSharesOptions = {
 	readonly entryId: string;
 	readonly admission: AdmissionState;
-	/** All entries that control knows. */
+	/** Lists all entries that control knows. */
 	listEntries(): Promise<EntryAddresses>;
-	/** Asks another entry for a part of its share. */
-	askShares(address: string, request: ShareRequest): Promise<ShareAnswer>;
+	/** Requests part of another entry's share. */
+	requestShares(address: string, request: ShareRequest): Promise<ShareAnswer>;
 };
 
-/** This entry's part of the fleet-wide limit, kept in its admission. */
+/** This entry's share of the fleet-wide limit, applied to its admission. */
 export type LimitShares = {
 	entryIds(): readonly string[];
 	setTeams(teams: ReadonlyMap<string, number>, nowMs: number): void;
@@ -23,20 +23,20 @@
 	answer(request: ShareRequest): ShareAnswer;
 };
 
-const shortestListMs = 2000;
-const longestListMs = 10_000;
-const listMsPerEntry = 50;
+const minListIntervalMs = 2000;
+const maxListIntervalMs = 10_000;
+const listIntervalMsPerEntry = 50;
 const listRetryMs = 500;
 
-/** With more entries each asks less often, so that control answers about as many. */
-const listEveryMs = (entries: number): number => Math.min(longestListMs, Math.max(shortestListMs, entries * listMsPerEntry));
+/** Grows with the number of entries, so that the request rate at control stays about constant. */
+const listIntervalMs = (entries: number): number => Math.min(maxListIntervalMs, Math.max(minListIntervalMs, entries * listIntervalMsPerEntry));
 
-export const createLimitShares = ({entryId, admission, listEntries, askShares}: LimitSharesOptions): LimitShares => {
+export const createLimitShares = ({entryId, admission, listEntries, requestShares}: LimitSharesOptions): LimitShares => {
 	const shares = createEntryShares({entryId, incarnation: Date.now()});
 	let teams: ReadonlyMap<string, number> = new Map();
 	let addresses: EntryAddresses = new Map();
-	let listDueAtMs = 0;
-	let isListing = false;
+	let nextListAtMs = 0;
+	let isRefreshing = false;
 
 	const apply = (nowMs: number): void => {
 		const rates = new Map([...teams.keys()].map(teamId => [teamId, shareOf(shares, teamId, nowMs)]));
@@ -45,26 +45,26 @@
 		}, nowMs);
 	};
 
-	const list = async (): Promise<void> => {
-		if (isListing) {
+	const refreshEntries = async (): Promise<void> => {
+		if (isRefreshing) {
 			return;
 		}
 
-		isListing = true;
+		isRefreshing = true;
 		const askedAtMs = performance.now();
 		try {
 			addresses = await listEntries();
 			takeEntries(shares, [...addresses.keys()], {askedAtMs, nowMs: performance.now()});
 		} catch {
-			// Without control the last known entries share the limit on, until this entry would count as gone.
+			// Without control, the last known entries continue to share the limit until this entry would be considered gone.
 		} finally {
-			isListing = false;
-			const isNamed = shares.namedAtMs >= askedAtMs;
-			listDueAtMs = performance.now() + (isNamed ? listEveryMs(countEntries(shares)) : listRetryMs);
+			isRefreshing = false;
+			const isListed = shares.namedAtMs >= askedAtMs;
+			nextListAtMs = performance.now() + (isListed ? listIntervalMs(countEntries(shares)) : listRetryMs);
 		}
 	};
 
-	const ask = async ({to, request}: ShareAsk): Promise<void> => {
+	const requestShare = async ({to, request}: ShareAsk): Promise<void> => {
 		const address = addresses.get(to);
 		if (address === undefined) {
 			return;
@@ -72,10 +72,10 @@
 
 		const sentAtMs = performance.now();
 		try {
-			const answer = await askShares(address, request);
+			const answer = await requestShares(address, request);
 			takeShareAnswer(shares, to, answer, {sentAtMs, nowMs: performance.now()});
 		} catch {
-			// An entry that is silent lends nothing; what it lent ends with its time.
+			// An entry that does not answer lends nothing; its earlier loans expire.
 		}
 	};
 
@@ -87,26 +87,26 @@
 			apply(nowMs);
 		},
 		tick(nowMs) {
-			if (nowMs >= listDueAtMs) {
-				void list();
+			if (nowMs >= nextListAtMs) {
+				void refreshEntries();
 			}
 
 			const wasJoined = shares.isJoined;
-			const asks = tickShares(shares, teamUses(admission), nowMs);
+			const shareRequests = tickShares(shares, teamUses(admission), nowMs);
 			apply(nowMs);
 			if (!wasJoined && shares.isJoined && countEntries(shares) === 1) {
 				fillBuckets(admission);
 			}
 
-			for (const one of asks) {
-				void ask(one);
+			for (const shareRequest of shareRequests) {
+				void requestShare(shareRequest);
 			}
 		},
 		answer(request) {
 			const nowMs = performance.now();
 			const answer = answerShareRequest(shares, request, nowMs);
 			if (!answer.isCounted) {
-				listDueAtMs = Math.min(listDueAtMs, nowMs + listRetryMs);
+				nextListAtMs = Math.min(nextListAtMs, nowMs + listRetryMs);
 			}
 
 			apply(nowMs);
--- a/packages/daemon/src/entry/read-call.ts
+++ b/packages/daemon/src/entry/read-call.ts
@@ -10,13 +10,13 @@
 import {RefusedError, type Call} from './call.js';
 
 export type ReadCallOptions = {
-	/** Teams by the digest of their key. */
+	/** Team ids by the digest of their API key. */
 	readonly teams: ReadonlyMap<string, string>;
 	readonly defaultDeadlineMs: number;
 	isOnce(target: RouteTarget): boolean;
 };
 
-/** The longest that an answer may take, also when the caller gives no deadline. */
+/** Upper bound on the duration of an answer, also if the caller gives no deadline. */
 const maxDeadlineMs = 600_000;
 const bodyLimitBytes = 1024 * 1024;
 
@@ -24,13 +24,13 @@
 
 const defaultAnswerTokens = 256;
 const bytesPerToken = 4;
-/** Reading a token of the prompt costs an engine about as much less than writing one. */
-const promptDiscount = 10;
+/** Prefill of a prompt token costs an engine about this many times less than decoding a token. */
+const prefillDiscount = 10;
 const defaultPriority = 1;
-/** A shorter prompt is computed anew sooner than it is worth the better choice. */
-const prefixLength = 1024;
+/** Prefix affinity is not used for shorter prompts: recomputing them costs less than not using the best endpoint. */
+const prefixCharacters = 1024;
 
-/** Reads and checks a caller's request; throws `RefusedError` for one that is wrong in itself. */
+/** Reads and validates a caller's request; throws `RefusedError` if it is invalid. */
 export const readCall = async (request: http.IncomingMessage, response: http.ServerResponse, {teams, defaultDeadlineMs, isOnce}: ReadCallOptions): Promise<Omit<Call, 'trace'>> => {
 	const startedAtMs = performance.now();
 	const teamId = identifyTeam(request, teams);
@@ -39,7 +39,7 @@
 	const url = request.url!;
 	const shared = {
 		requestId: randomUUID(), teamId, method: request.method!, contentType: request.headers['content-type'] ?? 'application/json', body,
-		idempotencyKey: readKey(request), priority: readPriority(request), response, abort: new AbortController(),
+		idempotencyKey: readIdempotencyKey(request), priority: readPriority(request), response, abort: new AbortController(),
 		deadlineAtMs: startedAtMs + (deadlineMs ?? defaultDeadlineMs), endAtMs: startedAtMs + (deadlineMs ?? maxDeadlineMs),
 	};
 	const service = /^\/services\/([^\/]+)(\/.*)$/v.exec(url);
@@ -57,11 +57,11 @@
 
 	return {
 		...shared, target: targetOf(parsed.data.model), path: url, isStream: parsed.data.stream, isOnce: false,
-		cost: (parsed.data.max_tokens ?? defaultAnswerTokens) + Math.ceil(body.length / bytesPerToken / promptDiscount), prefixKey: prefixOf(parsed.data),
+		cost: (parsed.data.max_tokens ?? defaultAnswerTokens) + Math.ceil(body.length / bytesPerToken / prefillDiscount), prefixKey: prefixOf(parsed.data),
 	};
 };
 
-/** `model/adapter` asks for an adapter to whichever version of the model is in force. */
+/** `model/adapter` requests an adapter on top of whichever version of the model is in force. */
 const targetOf = (model: string): RouteTarget => {
 	const slash = model.indexOf('/');
 	return slash === -1 ? {type: 'model', modelId: model} : {type: 'model', modelId: model.slice(0, slash), adapterId: model.slice(slash + 1)};
@@ -69,7 +69,7 @@
 
 const prefixOf = ({messages, prompt}: z.output<typeof chatBodySchema>): string | null => {
 	const text = typeof prompt === 'string' ? prompt : JSON.stringify(messages ?? null);
-	return text.length < prefixLength ? null : text.slice(0, prefixLength);
+	return text.length < prefixCharacters ? null : text.slice(0, prefixCharacters);
 };
 
 const readPriority = (request: http.IncomingMessage): number => {
@@ -96,7 +96,7 @@
 	return Math.min(deadlineMs, maxDeadlineMs);
 };
 
-const readKey = (request: http.IncomingMessage): string | null => {
+const readIdempotencyKey = (request: http.IncomingMessage): string | null => {
 	const key = request.headers[idempotencyKeyHeader];
 	if (key === undefined) {
 		return null;
--- a/packages/daemon/src/entry/relay.ts
+++ b/packages/daemon/src/entry/relay.ts
@@ -15,12 +15,12 @@
 
 export type RelayOptions = {readonly logger: Logger; readonly metrics?: Metrics};
 
-/** Gives callers their answers, whole or as an error of the fixed shape. */
+/** Sends callers their answers, or errors in the fixed format. */
 export type Relay = {
 	sendVerdict(call: Call, verdict: UnansweredVerdict): void;
-	/** Passes the answer on as it comes; a cut one is cut for the caller too. */
+	/** Streams the answer to the caller; a truncated answer is cut off for the caller too. */
 	stream(call: Call, answer: AttemptAnswer): Promise<void>;
-	/** Reads the answer before anything is said to the caller, so that a broken one becomes an error: `null`. */
+	/** Reads the complete answer before anything is sent to the caller, so that a broken answer can become an error: `null`. */
 	collect(requestId: string, answer: AttemptAnswer): Promise<Buffer | null>;
 	sendCollected(call: Call, answer: AttemptAnswer, body: Buffer): void;
 };
@@ -41,7 +41,7 @@
 		try {
 			for await (const part of answer.parts()) {
 				call.trace.firstByte();
-				await writeTo(response, isEvents ? passEvents(gate, part) : part, answer);
+				await writeWithBackpressure(response, isEvents ? passEvents(gate, part) : part, answer);
 			}
 		} catch (error) {
 			logger.event('BP2003', {requestId, reason: (error as Error).message});
@@ -77,8 +77,8 @@
 	},
 });
 
-/** Waits for a slow caller instead of holding what it does not take yet. */
-const writeTo = async (response: http.ServerResponse, data: Buffer, answer: AttemptAnswer): Promise<void> => {
+/** Applies backpressure: waits for a slow caller instead of buffering data for it. */
+const writeWithBackpressure = async (response: http.ServerResponse, data: Buffer, answer: AttemptAnswer): Promise<void> => {
 	if (data.length === 0 || response.write(data) || response.destroyed) {
 		return;
 	}
--- a/packages/daemon/src/entry/tell-notice.ts
+++ b/packages/daemon/src/entry/report-notice.ts
@@ -2,10 +2,10 @@
 import type {Logger, Metrics} from '@bitternpaddle/transport';
 import {match} from 'ts-pattern';
 
-export type TellNoticeOptions = {readonly logger: Logger; readonly metrics?: Metrics};
+export type ReportNoticeOptions = {readonly logger: Logger; readonly metrics?: Metrics};
 
-/** Logs and counts what operators may want to know of the router's decisions. */
-export const tellNotice = (notice: RouterNotice, {logger, metrics}: TellNoticeOptions): void => {
+/** Logs and counts the router's decisions that are relevant to operators. */
+export const reportNotice = (notice: RouterNotice, {logger, metrics}: ReportNoticeOptions): void => {
 	match(notice)
 		.with({type: 'ejected'}, ({hostId, reason}) => {
 			logger.event('BP2101', {hostId, reason});
--- a/packages/daemon/src/entry/request-log.ts
+++ b/packages/daemon/src/entry/request-log.ts
@@ -7,8 +7,8 @@
 
 export type RequestLogOptions = {
 	readonly entryId: string;
-	/** Ended requests that can still be explained. @default 2000 */
-	readonly keptRecords?: number;
+	/** Number of ended requests that are retained for `explain request`. @default 2000 */
+	readonly maxRetainedRecords?: number;
 	serviceOf(target: RouteTarget): string;
 	/** Called with every request that has ended. */
 	onEnd(record: RequestRecord): void;
@@ -21,16 +21,16 @@
 	readonly response: http.ServerResponse;
 };
 
-/** As much of an attempt's outcome as is noted. */
+/** The part of an attempt's outcome that is recorded. */
 export type TracedOutcome = {readonly type: 'answer'} | {readonly type: 'verdict'; readonly verdict: UnansweredVerdict};
 
-/** What the entry notes about one request on its way. */
+/** Records the events of one request. */
 export type RequestTrace = {
 	attempt<Outcome extends TracedOutcome>(endpoint: Endpoint, number: number, run: () => Promise<Outcome>): Promise<Outcome>;
-	/** The first byte of the answer's body came. */
+	/** The first byte of the answer's body was received. */
 	firstByte(): void;
 	refused(verdict: UnansweredVerdict): void;
-	/** The endpoint's answer was not whole. */
+	/** The endpoint's answer was incomplete. */
 	cut(): void;
 };
 
@@ -39,17 +39,17 @@
 	select(selection: RequestSelection): RequestRecord[];
 };
 
-/** Caller's text is kept short: a model name may be as long as a body. */
-const keptTextLength = 128;
-const keptAttempts = 32;
-const shorten = (text: string): string => text.slice(0, keptTextLength);
+/** Text from the caller is truncated, since a model name may be as long as a body. */
+const maxTextLength = 128;
+const maxRetainedAttempts = 32;
+const truncate = (text: string): string => text.slice(0, maxTextLength);
 
 type MutableRecord = {-readonly [Key in keyof RequestRecord]: RequestRecord[Key]};
 
-/** Remembers requests in flight, and the last ones that ended, for `explain request`. */
-export const createRequestLog = ({entryId, keptRecords = 2000, serviceOf, onEnd}: RequestLogOptions): RequestLog => {
+/** Retains requests in flight and the most recently ended ones, for `explain request`. */
+export const createRequestLog = ({entryId, maxRetainedRecords = 2000, serviceOf, onEnd}: RequestLogOptions): RequestLog => {
 	const inFlight = new Map<string, RequestRecord>();
-	// A map keeps the order of insertion, so its first key is the oldest.
+	// A map preserves insertion order, so its first key is the oldest.
 	const ended = new Map<string, RequestRecord>();
 
 	const finish = (record: MutableRecord, response: http.ServerResponse, elapsedMs: number): void => {
@@ -61,7 +61,7 @@
 		}
 
 		ended.set(record.requestId, record);
-		if (ended.size > keptRecords) {
+		if (ended.size > maxRetainedRecords) {
 			ended.delete(ended.keys().next().value!);
 		}
 
@@ -73,7 +73,7 @@
 			const startedMs = performance.now();
 			const elapsedMs = (): number => Math.round(performance.now() - startedMs);
 			const record: MutableRecord = {
-				requestId, entryId, teamId, serviceId: serviceOf(target), target: shorten(nameOfTarget(target)), arrivedAtMs: Date.now(),
+				requestId, entryId, teamId, serviceId: serviceOf(target), target: truncate(nameOfTarget(target)), arrivedAtMs: Date.now(),
 				firstByteAfterMs: null, endedAfterMs: null, state: 'inFlight', status: null, verdict: null, reason: null, versionId: null, attempts: [],
 			};
 			inFlight.set(requestId, record);
@@ -86,8 +86,8 @@
 						number, hostId: endpoint.hostId, startedAfterMs: elapsedMs(), endedAfterMs: null, verdict: null, reason: null,
 					};
 					record.attempts.push(attempt);
-					// A target whose doors are full refuses a call each time until it has room.
-					if (record.attempts.length > keptAttempts) {
+					// Full request gates can refuse a call many times before a slot is free, so only the latest attempts are retained.
+					if (record.attempts.length > maxRetainedAttempts) {
 						record.attempts.shift();
 					}
 
@@ -102,21 +102,21 @@
 						record.firstByteAfterMs = attempt.endedAfterMs;
 					}
 
-					attempt.reason = outcome.type === 'answer' ? null : shorten(outcome.verdict.reason);
+					attempt.reason = outcome.type === 'answer' ? null : truncate(outcome.verdict.reason);
 					return outcome;
 				},
 				firstByte() {
 					record.firstByteAfterMs ??= elapsedMs();
 				},
 				refused(verdict) {
-					// What happens after the caller went away is not what the caller saw.
+					// The caller has disconnected and does not see this outcome.
 					if (record.endedAfterMs !== null) {
 						return;
 					}
 
 					record.state = 'refused';
 					record.verdict = verdict.type;
-					record.reason = shorten(verdict.reason);
+					record.reason = truncate(verdict.reason);
 				},
 				cut() {
 					if (record.endedAfterMs !== null) {
--- a/packages/daemon/src/entry/request-quarantine.ts
+++ b/packages/daemon/src/entry/request-quarantine.ts
@@ -5,60 +5,60 @@
 import type {EntryCrashesParameters} from '@bitternpaddle/protocol';
 import type {Logger, Metrics} from '@bitternpaddle/transport';
 import {RefusedError, type Call} from './call.js';
-import {nameOf} from './target-names.js';
+import {targetNameOf} from './target-names.js';
 
-/** What entries tell each other of requests that were at endpoints when these ended. */
-export type CrashNews = Omit<EntryCrashesParameters, 'token'>;
+/** What entries report to each other about requests that endpoints had when they exited. */
+export type CrashUpdate = Omit<EntryCrashesParameters, 'token'>;
 
 export type RequestQuarantineOptions = {
 	/** Addresses of the other entries. */
 	listPeers(): Promise<readonly string[]>;
-	/** Tells one other entry; fails if it cannot be reached. */
-	tell(address: string, news: CrashNews): Promise<void>;
+	/** Sends an update to one other entry; rejects if it cannot be reached. */
+	send(address: string, update: CrashUpdate): Promise<void>;
 	readonly logger: Logger;
 	readonly metrics?: Metrics;
-	/** Between repetitions to a peer at random, since an entry may have been out of reach or start anew. @default 1000 */
-	readonly repeatMs?: number;
+	/** Interval at which records are resent to a random peer, since an entry may have been unreachable or may have restarted. @default 1000 */
+	readonly repeatIntervalMs?: number;
 };
 
-/** Keeps requests that end the endpoints that run them from all further endpoints, at every entry. */
+/** Keeps requests that crash the endpoints that run them away from all other endpoints, at every entry. */
 export type RequestQuarantine = {
-	/** Why a call must not be sent to an endpoint; `null` if it may. */
+	/** The verdict because of which a call must not be sent to an endpoint; `null` if it may be sent. */
 	verdictOn(call: Call): Verdict | null;
-	/** Calls `stop` if a verdict on the call comes while it is under way; returns what ends that. */
+	/** Calls `stop` if a verdict on the call is reached while it is in progress; returns a function that ends the watch. */
 	watch(call: Call, stop: () => void): () => void;
-	/** An endpoint's process ended while it had the call. */
-	noteEnded(call: Call, hostId: string, stage: AnswerStage): void;
-	/** An endpoint gave the call a whole answer. */
-	noteCompleted(call: Call): void;
-	/** Another entry's news. */
-	hear(news: CrashNews): void;
+	/** Records that an endpoint's process exited while it had the call. */
+	recordEndpointExit(call: Call, hostId: string, stage: AnswerStage): void;
+	/** Records that an endpoint answered the call completely. */
+	recordCompletion(call: Call): void;
+	/** Processes another entry's update. */
+	receive(update: CrashUpdate): void;
 	close(): void;
 };
 
-/** In one call to another entry, which reads 16 KiB; where there is more, the next one goes on behind it. */
-const mostRepeated = 32;
+/** Maximum records in one message to another entry, which accepts 16 KiB; the next message continues with the remaining ones. */
+const maxRepeatedRecords = 32;
 
-/** What a caller is told whose call is sent to no endpoint. */
+/** The error for a caller whose call is quarantined. */
 export const refusalOf = ({evidence}: Verdict): RefusedError => new RefusedError({
-	status: 400, type: 'invalid_request', message: `${evidence.length} endpoints ended while they had this request; it is sent to no other for now`,
+	status: 400, type: 'invalid_request', message: `${evidence.length} endpoints exited while they had this request; it is not sent to any other for now`,
 });
 
 const requestOf = (call: Call): FingerprintedRequest => ({
-	method: call.method, host: nameOf(call.target), path: call.path, teamName: call.teamId, body: call.body,
+	method: call.method, host: targetNameOf(call.target), path: call.path, teamName: call.teamId, body: call.body,
 });
 
-const decodeSighting = ({fingerprint, address, ageMs, stage}: CrashNews['sightings'][number], nowMs: number): CrashSighting => ({
+const decodeSighting = ({fingerprint, address, ageMs, stage}: CrashUpdate['sightings'][number], nowMs: number): CrashSighting => ({
 	fingerprint: fingerprint as RequestFingerprint, address, atMs: nowMs - ageMs, stage,
 });
 
-export const createRequestQuarantine = ({listPeers, tell, logger, metrics, repeatMs = 1000}: RequestQuarantineOptions): RequestQuarantine => {
+export const createRequestQuarantine = ({listPeers, send, logger, metrics, repeatIntervalMs = 1000}: RequestQuarantineOptions): RequestQuarantine => {
 	const ledger = createCrashLedger();
 	const watched = new Map<Call, () => void>();
-	let repeatedFrom = 0;
+	let nextRepeatIndex = 0;
 	const nowMs = (): number => performance.now();
 
-	const newsOf = (sightings: readonly CrashSighting[]): CrashNews => {
+	const updateOf = (sightings: readonly CrashSighting[]): CrashUpdate => {
 		const now = nowMs();
 		const ageMs = (atMs: number): number => Math.max(0, Math.round(now - atMs));
 		return {
@@ -66,32 +66,32 @@
 				fingerprint, address, ageMs: ageMs(atMs), stage,
 			})),
 			condemned: [...new Set(sightings.map(({fingerprint}) => fingerprint))].filter(fingerprint => ledger.verdicts.has(fingerprint)),
-			clearances: clearancesToRepeat(ledger, now).slice(-mostRepeated).map(({fingerprint, atMs}) => ({fingerprint, ageMs: ageMs(atMs)})),
+			clearances: clearancesToRepeat(ledger, now).slice(-maxRepeatedRecords).map(({fingerprint, atMs}) => ({fingerprint, ageMs: ageMs(atMs)})),
 		};
 	};
 
-	const tellOne = async (address: string, news: CrashNews): Promise<void> => {
+	const sendTo = async (address: string, update: CrashUpdate): Promise<void> => {
 		try {
-			await tell(address, news);
+			await send(address, update);
 		} catch {
-			// It is told again, or by another entry.
+			// The update is resent later, or sent by another entry.
 		}
 	};
 
-	const tellAll = async (news: CrashNews): Promise<void> => {
+	const sendToAll = async (update: CrashUpdate): Promise<void> => {
 		try {
-			await Promise.all((await listPeers()).map(async address => tellOne(address, news)));
+			await Promise.all((await listPeers()).map(async address => sendTo(address, update)));
 		} catch {
-			// Without a list of entries there is nobody to tell yet.
+			// Without a list of entries there is no recipient yet.
 		}
 	};
 
-	const repeat = async (): Promise<void> => {
+	const repeatToRandomPeer = async (): Promise<void> => {
 		pruneLedger(ledger, nowMs());
 		const all = sightingsToRepeat(ledger, nowMs());
-		repeatedFrom = repeatedFrom < all.length ? repeatedFrom : 0;
-		const sightings = all.slice(repeatedFrom, repeatedFrom + mostRepeated);
-		repeatedFrom += sightings.length;
+		nextRepeatIndex = nextRepeatIndex < all.length ? nextRepeatIndex : 0;
+		const sightings = all.slice(nextRepeatIndex, nextRepeatIndex + maxRepeatedRecords);
+		nextRepeatIndex += sightings.length;
 		if (sightings.length === 0) {
 			return;
 		}
@@ -100,15 +100,15 @@
 			const peers = await listPeers();
 			const peer = peers[Math.floor(Math.random() * peers.length)];
 			if (peer !== undefined) {
-				await tellOne(peer, newsOf(sightings));
+				await sendTo(peer, updateOf(sightings));
 			}
 		} catch {
-			// The next repetition finds a list of entries, or the one behind it.
+			// A later repetition may obtain a list of entries.
 		}
 	};
 
-	const take = (sightings: readonly CrashSighting[], condemnedElsewhere?: ReadonlySet<RequestFingerprint>): void => {
-		const {verdicts} = takeSightings(ledger, sightings, nowMs(), condemnedElsewhere);
+	const recordAndReport = (sightings: readonly CrashSighting[], quarantinedElsewhere?: ReadonlySet<RequestFingerprint>): void => {
+		const {verdicts} = takeSightings(ledger, sightings, nowMs(), quarantinedElsewhere);
 		for (const {fingerprint, evidence, untilMs} of verdicts) {
 			logger.event('BP2004', {
 				fingerprint, hosts: evidence.map(({address}) => address), agesMs: evidence.map(({atMs}) => Math.round(nowMs() - atMs)), untilMs: Math.round(untilMs - nowMs()),
@@ -117,14 +117,14 @@
 		}
 
 		if (verdicts.length > 0) {
-			stopWatched();
+			stopQuarantinedCalls();
 		}
 	};
 
-	const isKnown = (call: Call): boolean => !isEmpty(ledger) && mayBeKnown(ledger, outlineOf(requestOf(call)));
-	const verdictOf = (call: Call): Verdict | null => isKnown(call) ? verdictOn(ledger, fingerprintOf(requestOf(call)), nowMs()) : null;
+	const mayHaveVerdict = (call: Call): boolean => !isEmpty(ledger) && mayBeKnown(ledger, outlineOf(requestOf(call)));
+	const verdictOf = (call: Call): Verdict | null => mayHaveVerdict(call) ? verdictOn(ledger, fingerprintOf(requestOf(call)), nowMs()) : null;
 
-	const stopWatched = (): void => {
+	const stopQuarantinedCalls = (): void => {
 		for (const [call, stop] of watched) {
 			if (verdictOf(call) !== null) {
 				stop();
@@ -133,8 +133,8 @@
 	};
 
 	const timer = setInterval(() => {
-		void repeat();
-	}, repeatMs);
+		void repeatToRandomPeer();
+	}, repeatIntervalMs);
 	timer.unref();
 	return {
 		verdictOn: verdictOf,
@@ -144,25 +144,25 @@
 				watched.delete(call);
 			};
 		},
-		noteEnded(call, hostId, stage) {
+		recordEndpointExit(call, hostId, stage) {
 			const sighting = {
 				fingerprint: fingerprintOf(requestOf(call)), address: hostId, atMs: nowMs(), stage,
 			};
-			take([sighting]);
-			void tellAll(newsOf([sighting]));
+			recordAndReport([sighting]);
+			void sendToAll(updateOf([sighting]));
 		},
-		noteCompleted(call) {
-			if (isKnown(call)) {
+		recordCompletion(call) {
+			if (mayHaveVerdict(call)) {
 				clearRequest(ledger, {fingerprint: fingerprintOf(requestOf(call)), atMs: nowMs()}, nowMs());
 			}
 		},
-		hear({sightings, condemned, clearances}) {
+		receive({sightings, condemned, clearances}) {
 			const now = nowMs();
 			for (const {fingerprint, ageMs} of clearances) {
 				clearRequest(ledger, {fingerprint: fingerprint as RequestFingerprint, atMs: now - ageMs}, now);
 			}
 
-			take(sightings.map(sighting => decodeSighting(sighting, now)), new Set(condemned as RequestFingerprint[]));
+			recordAndReport(sightings.map(sighting => decodeSighting(sighting, now)), new Set(condemned as RequestFingerprint[]));
 		},
 		close() {
 			clearInterval(timer);
--- a/packages/daemon/src/entry/settle-claim.ts
+++ b/packages/daemon/src/entry/resolve-claim.ts
@@ -5,7 +5,7 @@
 import {recover, type AttemptAnswer} from './dispatch.js';
 
 export type FindOutcomeOptions = {
-	/** Where the claim says that its request went; `null`: nowhere. */
+	/** Where the claim's request was sent; `null` if it was sent nowhere. */
 	readonly place: ClaimPlace | null;
 	readonly requestId: string;
 	readonly suspectMs: number;
@@ -14,12 +14,12 @@
 	collect(answer: AttemptAnswer): Promise<Buffer | null>;
 };
 
-/** An answer as the log keeps it. */
-export const answerOf = ({status, headers}: AttemptAnswer, body: Buffer): ClaimAnswer => ({
+/** An answer in the format in which the log stores it. */
+export const claimAnswerOf = ({status, headers}: AttemptAnswer, body: Buffer): ClaimAnswer => ({
 	status, contentType: headers['content-type'] ?? 'application/json', body: body.toString('base64'), sizeBytes: body.length,
 });
 
-/** Asks the door that a claimed call went to; bars the call there if it has not started. */
+/** Queries the request gate to which a claimed call was sent for its outcome; bars the call there if it has not started. */
 export const findOutcome = async (options: FindOutcomeOptions): Promise<FoundOutcome> => {
 	const {place, requestId, suspectMs, catalog, signal, collect} = options;
 	if (place === null) {
@@ -37,7 +37,7 @@
 		.with({type: 'unknown'}, () => ({type: 'lost', isForGood: true}))
 		.with({type: 'answer'}, async ({answer}) => {
 			const body = await collect(answer);
-			return body === null ? {type: 'lost', isForGood: true} : {type: 'ran', answer: answerOf(answer, body)};
+			return body === null ? {type: 'lost', isForGood: true} : {type: 'ran', answer: claimAnswerOf(answer, body)};
 		})
 		.exhaustive();
 };
--- a/packages/daemon/src/entry/routed-attempt.ts
+++ b/packages/daemon/src/entry/routed-attempt.ts
@@ -8,12 +8,12 @@
 export type RoutedAttemptOptions = {
 	readonly router: RouterState;
 	readonly endpoint: Endpoint;
-	/** The endpoint answers. */
+	/** Called when the endpoint begins to answer. */
 	onBegin(): void;
 	onEnd(): void;
 };
 
-/** Tells the router of one attempt: its start now, its first byte, its end. */
+/** Reports one attempt to the router: its start immediately, then its first byte and its end. */
 export const createRoutedAttempt = ({router, endpoint: {hostId}, onBegin, onEnd}: RoutedAttemptOptions): RoutedAttempt => {
 	const startedAtMs = performance.now();
 	let latencyMs: number | null = null;
--- a/packages/daemon/src/entry/routing.ts
+++ b/packages/daemon/src/entry/routing.ts
@@ -8,38 +8,38 @@
 /** How an attempt at an endpoint ended, for the router's view of that endpoint. */
 export type RoutedEnd
 	= | 'answered'
-	/** The door refused: it is full, closing or behind. */
+	/** The request gate refused: it is full, closing, or its configuration is outdated. */
 		| 'refused'
 		| 'failed'
-	/** Nobody waited any more, which says nothing about the endpoint. */
+	/** The answer was no longer needed, which says nothing about the endpoint. */
 		| 'abandoned';
 
-/** One attempt as the router counts it. */
+/** One attempt as seen by the router. */
 export type RoutedAttempt = {
-	/** The answer's head is here. */
+	/** The head of the answer was received. */
 	begin(headers: http.IncomingHttpHeaders): void;
 	end(end: RoutedEnd): void;
 };
 
-/** What a call is told that asked for an endpoint; `busy` only if it has no place in the queue. */
-export type Turn = Choice | {readonly type: 'refused'; readonly verdict: NotRun};
+/** The result of choosing an endpoint for a call; `busy` only if the call was not admitted to the queue. */
+export type RoutingResult = Choice | {readonly type: 'refused'; readonly verdict: NotRun};
 
-/** The entry's seam to the routing decisions. */
+/** The interface between the entry and its routing decisions. */
 export type Routing = {
-	/** The revision that the choices follow from. */
+	/** The configuration revision on which the choices are based. */
 	revision(): number;
-	/** `changes` led to the catalog; `null` when it came as a whole. */
+	/** `changes` led to the catalog; `null` if it was received as a complete snapshot. */
 	update(catalog: Catalog, changes: readonly Change[] | null): void;
-	/** Waits in the queue while all that serves the target is full. */
-	choose(call: Call, tried: ReadonlySet<string>): Promise<Turn>;
-	/** Puts a call that has started back in its place in the queue, and waits for its turn. */
-	requeue(call: Call, tried: ReadonlySet<string>): Promise<Turn>;
+	/** Chooses an endpoint; waits in the queue while every endpoint that serves the target is full. */
+	choose(call: Call, tried: ReadonlySet<string>): Promise<RoutingResult>;
+	/** Returns a call that has started to its position in the queue and waits for its turn. */
+	requeue(call: Call, tried: ReadonlySet<string>): Promise<RoutingResult>;
 	start(call: Call, endpoint: Endpoint): RoutedAttempt;
 };
 
 /**
- * Decides before the first attempt whether a call may start; it may hold the
- * call back in a queue until then. A verdict is the call's final answer.
+ * Decides before the first attempt whether a call may start, and may queue the
+ * call until then. A verdict is the call's final answer.
  */
 export type Admission
 	= | {readonly type: 'admitted'; release(): void}
--- a/packages/daemon/src/entry/serve-call.ts
+++ b/packages/daemon/src/entry/serve-call.ts
@@ -29,9 +29,9 @@
 	readonly maxAttempts: number;
 	readonly defaultDeadlineMs: number;
 	readonly suspectMs: number;
-	/** Told of each endpoint that does or does not answer. */
+	/** Records for each attempt whether the host answered. */
 	readonly failing?: FailingHosts;
-	/** Counts what attempts came to, by fleet. */
+	/** Counts the outcomes of attempts by fleet. */
 	readonly outcomes?: FleetOutcomes;
 	readonly quarantine?: RequestQuarantine;
 	isLeaving(): boolean;
@@ -44,7 +44,7 @@
 	whenIdle(): Promise<void>;
 };
 
-/** Takes callers' requests from the gate to their answer. */
+/** Serves callers' requests, from their arrival to the complete answer. */
 export const createCallServer = (options: ServeCallOptions): CallServer => {
 	const {
 		configuration, routing, admit, relay, maxRequests, quarantine, isLeaving,
@@ -67,9 +67,9 @@
 		configuration, relay, attempt, suspectMs: options.suspectMs,
 	});
 
-	/** As `attempt`; a call on which a verdict comes meanwhile is given up, unless its answer has begun. */
-	const attemptWatched = async (call: Call): Promise<CallOutcome> => {
-		const endWatch = quarantine?.watch(call, () => {
+	/** Like `attempt`, but aborts a call that is quarantined meanwhile, unless its answer has begun. */
+	const attemptUnlessQuarantined = async (call: Call): Promise<CallOutcome> => {
+		const stopWatching = quarantine?.watch(call, () => {
 			call.abort.abort('quarantined');
 		});
 		try {
@@ -81,12 +81,12 @@
 
 			return outcome;
 		} finally {
-			endWatch?.();
+			stopWatching?.();
 		}
 	};
 
 	const serveRepeatable = async (call: Call): Promise<void> => {
-		const outcome = await attemptWatched(call);
+		const outcome = await attemptUnlessQuarantined(call);
 		if (outcome.type !== 'answer') {
 			relay.sendVerdict(call, outcome.type === 'verdict' ? outcome.verdict : notRun('stopped before its first attempt'));
 			return;
@@ -105,8 +105,8 @@
 		}
 	};
 
-	/** Why no request may start here now, or `null`. */
-	const objection = (): string | null => {
+	/** The reason why no request may start at this entry now, or `null`. */
+	const refusalReason = (): string | null => {
 		if (isLeaving()) {
 			return 'the entry is stopping';
 		}
@@ -149,7 +149,7 @@
 
 	return {
 		async serve(request, response) {
-			const reason = objection();
+			const reason = refusalReason();
 			if (reason !== null) {
 				const refused = errorResponseOf(notRun(reason), null);
 				sendJson(response, refused.status, refused.body, refused.headers);
--- a/packages/daemon/src/entry/serve-once.ts
+++ b/packages/daemon/src/entry/serve-once.ts
@@ -10,7 +10,7 @@
 import {RefusedError, type Call} from './call.js';
 import type {AttemptsOptions, CallOutcome} from './attempts.js';
 import {sendRefusal, type Relay} from './relay.js';
-import {answerOf, findOutcome} from './settle-claim.js';
+import {claimAnswerOf, findOutcome} from './resolve-claim.js';
 
 export type ServeOnceOptions = {
 	readonly configuration: ConfigurationClient;
@@ -20,10 +20,10 @@
 	attempt(call: Call, mayDispatch: AttemptsOptions['mayDispatch']): Promise<CallOutcome>;
 };
 
-const concludeTries = 3;
+const maxConcludeAttempts = 3;
 
-/** One call on its way, and the answer of its own attempt once that is here. */
-type Serving = {
+/** One call in progress, and how to send the answer of its own attempt once there is one. */
+type ServedCall = {
 	readonly call: Call;
 	readonly state: ClaimedCallState;
 	sendAnswer: (() => void) | null;
@@ -31,7 +31,7 @@
 
 type StepEffect = Exclude<ClaimedCallEffect, {type: 'finish' | 'dispatch' | 'stop'}>;
 
-/** Runs calls that may not be repeated: first the claim, then the call, then its outcome. */
+/** Runs calls that may not be repeated: first commits the claim, then runs the call, then commits its outcome. */
 export const createServeOnce = ({configuration, relay, suspectMs, attempt}: ServeOnceOptions) => {
 	const write = async (change: Change): Promise<CommandResult> => configuration.propose({commandId: null, ifRevision: null, change});
 
@@ -43,37 +43,37 @@
 		}
 	};
 
-	const nameOf = (call: Call) => ({
+	const claimKeyOf = (call: Call) => ({
 		teamId: teamIdSchema.parse(call.teamId), serviceId: serviceIdSchema.parse(call.target.type === 'service' ? call.target.serviceId : ''),
 		key: idempotencyKeySchema.parse(call.idempotencyKey), requestId: requestIdSchema.parse(call.requestId),
 	});
 
 	const conclude = async (call: Call, {requestId, attemptId, outcome}: Extract<ClaimedCallEffect, {type: 'conclude'}>): Promise<ClaimedCallEvent> => {
-		for (let number = 1; number <= concludeTries; number++) {
+		for (let number = 1; number <= maxConcludeAttempts; number++) {
 			try {
 				await write({
-					type: 'concludeClaim', ...nameOf(call), requestId: requestIdSchema.parse(requestId), attemptId, outcome,
+					type: 'concludeClaim', ...claimKeyOf(call), requestId: requestIdSchema.parse(requestId), attemptId, outcome,
 				});
 				break;
 			} catch {
-				// Tried again; a second conclusion of the same attempt changes nothing.
+				// Retried; concluding the same attempt twice changes nothing.
 			}
 		}
 
 		return {type: 'concluded'};
 	};
 
-	const carryOut = async (serving: Serving, effect: StepEffect): Promise<ClaimedCallEvent> => {
-		const {call} = serving;
+	const performEffect = async (served: ServedCall, effect: StepEffect): Promise<ClaimedCallEvent> => {
+		const {call} = served;
 		return match(effect)
 			.returnType<Promise<ClaimedCallEvent>>()
 			.with({type: 'attempt'}, async () => ({
-				type: 'attempted', end: await endOf(serving, await attempt(call, async place => mayDispatch(serving, place))),
+				type: 'attempted', end: await attemptedEndOf(served, await attempt(call, async place => mayDispatch(served, place))),
 			}))
 			.with({type: 'claim'}, async ({place}) => propose({
-				type: 'claim', ...nameOf(call), place, atMs: Date.now(), bodyDigest: sha256(`${call.method} ${call.path}\n${call.body.toString('base64')}`),
+				type: 'claim', ...claimKeyOf(call), place, atMs: Date.now(), bodyDigest: sha256(`${call.method} ${call.path}\n${call.body.toString('base64')}`),
 			}))
-			.with({type: 'move'}, async ({place}) => propose({type: 'moveClaim', ...nameOf(call), place}))
+			.with({type: 'move'}, async ({place}) => propose({type: 'moveClaim', ...claimKeyOf(call), place}))
 			.with({type: 'settle'}, async ({place, requestId}) => ({
 				type: 'found', found: await findOutcome({
 					place, requestId, suspectMs, catalog: configuration.catalog(), signal: call.abort.signal,
@@ -84,31 +84,31 @@
 			.exhaustive();
 	};
 
-	const mayDispatch = async (serving: Serving, place: ClaimPlace): Promise<boolean> => {
-		const effect = stepClaimedCall(serving.state, {type: 'placed', place}) as StepEffect;
-		return stepClaimedCall(serving.state, await carryOut(serving, effect)).type === 'dispatch';
+	const mayDispatch = async (served: ServedCall, place: ClaimPlace): Promise<boolean> => {
+		const effect = stepClaimedCall(served.state, {type: 'placed', place}) as StepEffect;
+		return stepClaimedCall(served.state, await performEffect(served, effect)).type === 'dispatch';
 	};
 
-	const endOf = async (serving: Serving, outcome: CallOutcome): Promise<AttemptedEnd> => {
+	const attemptedEndOf = async (served: ServedCall, outcome: CallOutcome): Promise<AttemptedEnd> => {
 		if (outcome.type !== 'answer') {
 			return outcome;
 		}
 
-		const {call} = serving;
+		const {call} = served;
 		const {answer, place} = outcome;
 		const body = await relay.collect(call.requestId, answer);
 		if (body === null) {
 			return {type: 'answered', place, answer: null};
 		}
 
-		serving.sendAnswer = () => {
+		served.sendAnswer = () => {
 			relay.sendCollected(call, answer, body);
 		};
 
-		return {type: 'answered', place, answer: answerOf(answer, body)};
+		return {type: 'answered', place, answer: claimAnswerOf(answer, body)};
 	};
 
-	const reply = ({call, sendAnswer}: Serving, end: ClaimedCallReply): void => {
+	const reply = ({call, sendAnswer}: ServedCall, end: ClaimedCallReply): void => {
 		match(end)
 			.with({type: 'verdict'}, ({verdict}) => {
 				relay.sendVerdict(call, verdict);
@@ -117,15 +117,15 @@
 				sendAnswer!();
 			})
 			.with({type: 'held'}, ({state}) => {
-				sendHeld(call, state);
+				sendExistingClaim(call, state);
 			})
 			.exhaustive();
 	};
 
-	const sendHeld = (call: Call, state: Extract<ClaimedCallReply, {type: 'held'}>['state']): void => {
+	const sendExistingClaim = (call: Call, state: Extract<ClaimedCallReply, {type: 'held'}>['state']): void => {
 		match(state)
 			.with({type: 'ran', body: null}, () => {
-				sendRefusal(call.response, {status: 409, type: 'already_ran', message: 'the call with this key has run; its answer is no longer kept'});
+				sendRefusal(call.response, {status: 409, type: 'already_ran', message: 'the call with this key has run; its answer is no longer stored'});
 			})
 			.with({type: 'ran'}, ({status, contentType, body}) => {
 				call.response.writeHead(status, {'content-type': contentType, [requestIdHeader]: call.requestId, 'x-bitternpaddle-replayed': 'true'});
@@ -143,19 +143,19 @@
 			.exhaustive();
 	};
 
-	return async (caller: Call): Promise<void> => {
-		if (caller.idempotencyKey === null) {
+	return async (receivedCall: Call): Promise<void> => {
+		if (receivedCall.idempotencyKey === null) {
 			throw new RefusedError({status: 400, type: 'invalid_request', message: `a service whose calls may not be repeated needs an ${idempotencyKeyHeader} header`});
 		}
 
-		// The caller's hanging up does not end the run: its outcome is kept for the resend.
-		const call: Call = {...caller, abort: new AbortController()};
-		const serving: Serving = {call, state: createClaimedCall({requestId: call.requestId}), sendAnswer: null};
+		// The run continues if the caller disconnects; its outcome is stored for a retry with the same key.
+		const call: Call = {...receivedCall, abort: new AbortController()};
+		const served: ServedCall = {call, state: createClaimedCall({requestId: call.requestId}), sendAnswer: null};
 		let effect = firstClaimedCallEffect;
 		while (effect.type !== 'finish') {
-			effect = stepClaimedCall(serving.state, await carryOut(serving, effect as StepEffect));
+			effect = stepClaimedCall(served.state, await performEffect(served, effect as StepEffect));
 		}
 
-		reply(serving, effect.reply);
+		reply(served, effect.reply);
 	};
 };
--- a/packages/daemon/src/entry/traffic.ts
+++ b/packages/daemon/src/entry/traffic.ts
@@ -7,13 +7,13 @@
 import type {Logger, Metrics} from '@bitternpaddle/transport';
 import {verdictOf} from './admission-verdict.js';
 import type {Call} from './call.js';
-import {nameOf} from './target-names.js';
+import {targetNameOf} from './target-names.js';
 import {createLimitShares, type EntryAddresses} from './limit-shares.js';
 import {createRoutedAttempt} from './routed-attempt.js';
 import type {
-	Admission, RoutedAttempt, Routing, Turn,
+	Admission, RoutedAttempt, Routing, RoutingResult,
 } from './routing.js';
-import {tellNotice} from './tell-notice.js';
+import {reportNotice} from './report-notice.js';
 
 export type TrafficOptions = {
 	readonly entryId: string;
@@ -22,55 +22,55 @@
 	readonly limits: AdmissionOptions;
 	readonly logger: Logger;
 	readonly metrics?: Metrics;
-	/** All entries that control knows. */
+	/** Lists all entries that control knows. */
 	listEntries(): Promise<EntryAddresses>;
-	/** Asks another entry for a part of its share of the limit. */
-	askShares(address: string, request: ShareRequest): Promise<ShareAnswer>;
-	/** Asks a host how many requests run there. */
-	askLoad(address: string): Promise<number>;
+	/** Requests part of another entry's share of the limit. */
+	requestShares(address: string, request: ShareRequest): Promise<ShareAnswer>;
+	/** Requests the number of requests that run at a host. */
+	requestLoad(address: string): Promise<number>;
 };
 
 /** Admission and routing of one entry. */
 export type Traffic = Routing & {
 	admit(call: Call): Promise<Admission>;
-	/** Answers another entry that needs more of the limit. */
+	/** Answers another entry's request for a larger share of the limit. */
 	answerShares(request: ShareRequest): ShareAnswer;
 	close(): void;
 };
 
-type Waiter = {readonly call: Call; readonly tried: ReadonlySet<string>; resolve(turn: Turn): void};
+type Waiter = {readonly call: Call; readonly tried: ReadonlySet<string>; resolve(result: RoutingResult): void};
 
-/** A call between its admission and its end. */
+/** State of a call between its admission and its release. */
 type Admitted = {
-	/** Taken for the call at its turn, until the call comes for it. */
+	/** Endpoint slot reserved for the call when its turn came, until the call uses it. */
 	reserved: {readonly choice: Choice; readonly attempt: RoutedAttempt} | null;
 	hasRun: boolean;
 };
 
 const tickMs = 100;
 
-/** Turns the entry's calls, ticks and reports into events of admission and router, and their decisions into waiting and starting. */
+/** Connects the entry's calls, timer ticks and load reports to admission and the router, and queues or starts calls as these decide. */
 export const createTraffic = (options: TrafficOptions): Traffic => {
-	const {entryId, zoneId, regionId, limits, logger, metrics, listEntries, askShares, askLoad} = options;
+	const {entryId, zoneId, regionId, limits, logger, metrics, listEntries, requestShares, requestLoad} = options;
 	const router = createRouter({
 		entryId, zoneId, regionId, random: createRandom(Math.floor(Math.random() * 2_147_483_647)),
 	});
 	const admission = createAdmission(limits);
 	const shares = createLimitShares({
-		entryId, admission, listEntries, askShares,
+		entryId, admission, listEntries, requestShares,
 	});
 	const waiters = new Map<string, Waiter>();
 	const admitted = new Map<string, Admitted>();
 	const targets = new Map<string, RouteTarget>();
 
 	const probe = async ({hostId, address}: Endpoint): Promise<void> => {
-		const askedAtMs = performance.now();
+		const requestedAtMs = performance.now();
 		try {
-			const running = await askLoad(address);
+			const running = await requestLoad(address);
 			const nowMs = performance.now();
-			noteLoadReport(router, hostId, {running, ageMs: nowMs - askedAtMs}, nowMs);
+			noteLoadReport(router, hostId, {running, ageMs: nowMs - requestedAtMs}, nowMs);
 		} catch {
-			// A host that cannot be asked shows it at the next request.
+			// If the host is unreachable, the next request to it will fail and be recorded.
 		}
 	};
 
@@ -85,8 +85,9 @@
 
 	const startAttempt = (call: Call, endpoint: Endpoint): RoutedAttempt => createRoutedAttempt({
 		router, endpoint,
-		// Not at its end: that is when the caller has all of it, and by then the
-		// call is released. Admission would take each answer for one that never ran.
+		// Set when the answer begins, not when it ends: it ends once the caller has
+		// received all of it, and by then the call is released, so that admission
+		// would treat every answered call as one that never ran.
 		onBegin() {
 			const record = admitted.get(call.requestId);
 			if (record !== undefined) {
@@ -94,31 +95,31 @@
 			}
 		},
 		onEnd() {
-			pump(nameOf(call.target));
+			dispatchQueued(targetNameOf(call.target));
 		},
 	});
 
-	/** Lets calls start while their target has room, in fair order. */
-	const pump = (key: string): void => {
+	/** Starts queued calls in fair order while their target has spare slots. */
+	const dispatchQueued = (key: string): void => {
 		const target = targets.get(key);
 		if (target === undefined) {
 			return;
 		}
 
-		const canGoOn = (): boolean => hasRoom(router, target) || !hasEndpoint(router, target);
-		// At most one pass over what waits: a call that finds no place goes back.
-		for (let left = waitingFor(admission, key); left > 0 && canGoOn(); left--) {
+		const canDispatch = (): boolean => hasRoom(router, target) || !hasEndpoint(router, target);
+		// At most one pass over the queue: a call that finds no free endpoint returns to it.
+		for (let remaining = waitingFor(admission, key); remaining > 0 && canDispatch(); remaining--) {
 			const {request, refused} = takeRequest(admission, key, performance.now());
 			refuseAll(refused);
 			if (request === null) {
 				return;
 			}
 
-			placeWaiter(request.requestId);
+			dispatchWaiter(request.requestId);
 		}
 	};
 
-	const placeWaiter = (requestId: string): void => {
+	const dispatchWaiter = (requestId: string): void => {
 		const {call, tried, resolve} = waiters.get(requestId)!;
 		const choice = chooseNow(call, tried);
 		if (choice.type === 'busy') {
@@ -126,8 +127,8 @@
 			return;
 		}
 
-		// The endpoint is taken here and now: the call itself goes on a little
-		// later, and until then the others of this pass would take the same room.
+		// The slot is reserved synchronously: the call itself resumes a little
+		// later, and until then the other calls of this pass would use the same slot.
 		const reserved = choice.type === 'chosen' ? {choice, attempt: startAttempt(call, choice.endpoint)} : null;
 		admitted.set(requestId, {reserved, hasRun: admitted.get(requestId)?.hasRun ?? false});
 		waiters.delete(requestId);
@@ -141,31 +142,31 @@
 		}
 	};
 
-	const waitForTurn = async (call: Call, tried: ReadonlySet<string>): Promise<Turn> => new Promise(resolve => {
+	const waitForTurn = async (call: Call, tried: ReadonlySet<string>): Promise<RoutingResult> => new Promise(resolve => {
 		const {requestId, abort: {signal}} = call;
-		const leave = (): void => {
+		const cancel = (): void => {
 			if (waiters.delete(requestId)) {
 				cancelRequest(admission, requestId);
-				resolve({type: 'refused', verdict: notRun(signal.reason === 'deadline' ? 'the deadline passed' : 'nobody waits for the answer any more')});
+				resolve({type: 'refused', verdict: notRun(signal.reason === 'deadline' ? 'the deadline passed' : 'the caller no longer waits for the answer')});
 			}
 		};
 
 		waiters.set(requestId, {
 			call, tried,
-			resolve(turn) {
-				signal.removeEventListener('abort', leave);
-				resolve(turn);
+			resolve(result) {
+				signal.removeEventListener('abort', cancel);
+				resolve(result);
 			},
 		});
-		signal.addEventListener('abort', leave);
+		signal.addEventListener('abort', cancel);
 		if (signal.aborted) {
-			leave();
+			cancel();
 		}
 
-		pump(nameOf(call.target));
+		dispatchQueued(targetNameOf(call.target));
 	});
 
-	const requeue = async (call: Call, tried: ReadonlySet<string>): Promise<Turn> => {
+	const requeue = async (call: Call, tried: ReadonlySet<string>): Promise<RoutingResult> => {
 		if (!admitted.has(call.requestId)) {
 			return {type: 'busy'};
 		}
@@ -184,14 +185,14 @@
 	const tick = (): void => {
 		const nowMs = performance.now();
 		for (const notice of tickRouter(router, nowMs)) {
-			tellNotice(notice, {logger, metrics});
+			reportNotice(notice, {logger, metrics});
 		}
 
 		refuseAll(tickAdmission(admission, nowMs));
 		shares.tick(nowMs);
 		setEntries(router, shares.entryIds(), nowMs);
 		for (const key of targets.keys()) {
-			pump(key);
+			dispatchQueued(key);
 			metrics?.gauge('entry.waiting', waitingFor(admission, key), {target: key});
 		}
 	};
@@ -228,20 +229,20 @@
 		async admit(call) {
 			const {requestId, target, teamId, cost, priority, deadlineAtMs, isStream} = call;
 			if (!hasEndpoint(router, target)) {
-				// The attempt itself tells an unknown target from one that is not ready.
+				// The attempt itself distinguishes an unknown target from one that is not ready.
 				return {type: 'admitted', release: () => undefined};
 			}
 
-			const key = nameOf(target);
+			const key = targetNameOf(target);
 			targets.set(key, target);
 			const offered = offerRequest(admission, {
 				requestId, teamId, target: key, cost, priority, deadlineAtMs, deadlineFor: isStream ? 'begin' : 'end',
 			}, performance.now());
-			const turn: Turn = offered.type === 'refused' ? {type: 'refused', verdict: verdictOf(offered)} : await waitForTurn(call, new Set());
-			if (turn.type === 'refused') {
+			const result: RoutingResult = offered.type === 'refused' ? {type: 'refused', verdict: verdictOf(offered)} : await waitForTurn(call, new Set());
+			if (result.type === 'refused') {
 				release(requestId);
 				metrics?.increment('entry.refused', {teamId});
-				return turn;
+				return result;
 			}
 
 			return {
--- a/packages/daemon/src/entry/watch-for-crash.ts
+++ b/packages/daemon/src/entry/watch-for-crash.ts
@@ -2,12 +2,12 @@
 import {BrokenAnswerError, type AttemptAnswer, type AttemptOutcome} from './dispatch.js';
 
 export type CrashWatcher = {
-	/** The endpoint's process ended while it had the request. */
-	onEnded(stage: AnswerStage): void;
-	onWhole(): void;
+	/** Called when the endpoint's process exited while it had the request. */
+	onEndpointExit(stage: AnswerStage): void;
+	onComplete(): void;
 };
 
-const watchParts = async function * (answer: AttemptAnswer, {onEnded, onWhole}: CrashWatcher): ReturnType<AttemptAnswer['parts']> {
+const watchParts = async function * (answer: AttemptAnswer, {onEndpointExit, onComplete}: CrashWatcher): ReturnType<AttemptAnswer['parts']> {
 	let stage: AnswerStage = 'begun';
 	try {
 		for await (const part of answer.parts()) {
@@ -16,24 +16,24 @@
 		}
 	} catch (error) {
 		if (error instanceof BrokenAnswerError && answer.hasEndpointEnded()) {
-			onEnded(stage);
+			onEndpointExit(stage);
 		}
 
 		throw error;
 	}
 
-	onWhole();
+	onComplete();
 };
 
-/** Tells of the end of an attempt, at once or once its answer has been read. */
+/** Reports how an attempt ended: immediately, or once its answer has been read. */
 export const watchForCrash = (outcome: AttemptOutcome, watcher: CrashWatcher): AttemptOutcome => {
 	if (outcome.type === 'answer') {
 		const {answer} = outcome;
 		return {...outcome, answer: {...answer, parts: () => watchParts(answer, watcher)}};
 	}
 
-	if (outcome.hasEndpointEnded) {
-		watcher.onEnded('waiting');
+	if (outcome.hasEndpointExited) {
+		watcher.onEndpointExit('waiting');
 	}
 
 	return outcome;
--- a/packages/daemon/test/adapter-answers.test.ts
+++ b/packages/daemon/test/adapter-answers.test.ts
@@ -20,8 +20,8 @@
 
 type Tags = {readonly head?: string; readonly marker?: string};
 
-/** Asks a door that tags its head and its end as given; the call went out for `asked`. */
-const askDoor = async (t: Test, asked: string | null, {head, marker: adapterTag}: Tags): Promise<AttemptOutcome> => {
+/** Dispatches a call for the adapter `requestedTag` to a request gate that puts the given tags into head and end marker. */
+const dispatchToGate = async (t: Test, requestedTag: string | null, {head, marker: adapterTag}: Tags): Promise<AttemptOutcome> => {
 	const rpc = createRpcServer();
 	rpc.method('agent.settle', z.object({}), () => ({type: 'ran'}));
 	const server = await createHttpServer({
@@ -51,7 +51,7 @@
 	return dispatch({
 		endpoint: {address: server.address, incarnation: 1, versionId: 'm:v1'}, requestId, attemptId: `${requestId}.1`, issue: {sender: 'entry', sequence: 1}, revision: 0,
 		method: 'POST', path: '/v1/chat/completions', contentType: 'application/json', body: Buffer.from('{}'), idempotencyKey: null, isOnce: false,
-		suspectMs: 1000, remainingMs: 10_000, signal: new AbortController().signal, adapterTag: asked,
+		suspectMs: 1000, remainingMs: 10_000, signal: new AbortController().signal, adapterTag: requestedTag,
 	});
 };
 
@@ -72,27 +72,27 @@
 	return Buffer.concat(parts).toString();
 };
 
-t.test('an answer with the right tags is whole', async t => {
-	t.equal(await readAll(await askDoor(t, tag, {head: tag, marker: tag})), text);
-	t.equal(await readAll(await askDoor(t, null, {})), text);
+t.test('an answer with the right tags is complete', async t => {
+	t.equal(await readAll(await dispatchToGate(t, tag, {head: tag, marker: tag})), text);
+	t.equal(await readAll(await dispatchToGate(t, null, {})), text);
 });
 
-// An agent that knows nothing of adapters, or engine and agent that disagree,
-// answer a request for an adapter from the base, from another base or from
-// another adapter. The head already tells: no byte reaches the caller, who is
-// told that the request may have run.
-t.test('an answer from elsewhere is not begun', async t => {
+// An agent without adapter support, or an engine that disagrees with its agent,
+// answers a request for an adapter from the base model, from another base or from
+// another adapter. The wrong tag in the head must be detected before any byte
+// reaches the caller, who is told that the request may have run.
+t.test('an answer whose head has the wrong tag is not passed on', async t => {
 	for (const head of [undefined, otherBase, otherAdapter]) {
-		t.equal(await readAll(await askDoor(t, tag, {head, marker: head})), 'mayHaveRun', head ?? 'the base alone');
+		t.equal(await readAll(await dispatchToGate(t, tag, {head, marker: head})), 'mayHaveRun', head ?? 'the base model alone');
 	}
 
-	t.equal(await readAll(await askDoor(t, null, {head: tag, marker: tag})), 'mayHaveRun', 'an adapter that nobody asked for');
+	t.equal(await readAll(await dispatchToGate(t, null, {head: tag, marker: tag})), 'mayHaveRun', 'an adapter that was not requested');
 });
 
-// The head named the right adapter, the end names another: it changed under the
-// answer. The caller's answer is cut and never passes for whole.
-t.test('an answer that ends elsewhere is broken', async t => {
+// The head names the right adapter, but the end marker names another: the adapter
+// was replaced during the answer. The answer must not be accepted as complete.
+t.test('an answer whose end marker has the wrong tag is broken', async t => {
 	for (const marker of [undefined, otherBase, otherAdapter]) {
-		t.equal(await readAll(await askDoor(t, tag, {head: tag, marker})), 'broken', marker ?? 'the base alone');
+		t.equal(await readAll(await dispatchToGate(t, tag, {head: tag, marker})), 'broken', marker ?? 'the base model alone');
 	}
 });
--- a/packages/daemon/test/dispatch.test.ts
+++ b/packages/daemon/test/dispatch.test.ts
@@ -21,21 +21,21 @@
 
 type Handler = (response: http.ServerResponse, offset: number) => void | Promise<void>;
 
-type FakeDoor = {
+type FakeGate = {
 	readonly address: string;
-	/** What was asked of the door, in order. */
-	readonly asked: string[];
+	/** The calls that the gate received, in order. */
+	readonly calls: string[];
 	readonly connections: Set<unknown>;
 };
 
-/** A door whose answers the test writes itself. */
-const createFakeDoor = async (t: Test, settled: SettleResult['type'], handlers: {first: Handler; resume?: Handler}): Promise<FakeDoor> => {
-	const asked: string[] = [];
+/** A request gate whose answers are written by the test. */
+const createFakeGate = async (t: Test, settleResult: SettleResult['type'], handlers: {first: Handler; resume?: Handler}): Promise<FakeGate> => {
+	const calls: string[] = [];
 	const connections = new Set<unknown>();
 	const rpc = createRpcServer();
 	rpc.method('agent.settle', z.object({attemptId: z.string(), isCancel: z.boolean()}), ({isCancel}) => {
-		asked.push(isCancel ? 'cancel' : 'settle');
-		return {type: settled};
+		calls.push(isCancel ? 'cancel' : 'settle');
+		return {type: settleResult};
 	});
 	const server = await createHttpServer({
 		listen: '127.0.0.1:0',
@@ -45,11 +45,11 @@
 				await rpc.serve(request, response);
 			} else if (request.url!.startsWith('/answers/')) {
 				const offset = Number(new URL(request.url!, 'http://door').searchParams.get('offset'));
-				asked.push(`resume ${offset}`);
+				calls.push(`resume ${offset}`);
 				await handlers.resume!(response, offset);
 			} else {
 				await readBody(request);
-				asked.push('send');
+				calls.push('send');
 				await handlers.first(response, 0);
 			}
 		},
@@ -57,16 +57,16 @@
 	t.teardown(() => {
 		server.destroy();
 	});
-	return {address: server.address, asked, connections};
+	return {address: server.address, calls, connections};
 };
 
-const begin = (response: http.ServerResponse, id = requestId): void => {
+const beginAnswer = (response: http.ServerResponse, id = requestId): void => {
 	response.writeHead(200, {
 		'content-type': 'text/event-stream', [requestIdHeader]: id, [verdictHeader]: 'ran', trailer: endMarkerTrailer,
 	});
 };
 
-const end = (response: http.ServerResponse, changes: Partial<EndMarker> = {}): void => {
+const endAnswer = (response: http.ServerResponse, changes: Partial<EndMarker> = {}): void => {
 	const marker: EndMarker = {
 		requestId, sizeBytes: text.length, digest: createHash('sha256').update(text).digest('hex'), versionId: null, ...changes,
 	};
@@ -74,10 +74,10 @@
 	response.end();
 };
 
-const sendWhole: Handler = (response, offset) => {
-	begin(response);
+const sendComplete: Handler = (response, offset) => {
+	beginAnswer(response);
 	response.write(text.slice(offset));
-	end(response);
+	endAnswer(response);
 };
 
 const attemptAt = (address: string, changes: Partial<Attempt> = {}): Attempt => ({
@@ -104,149 +104,150 @@
 	return Buffer.concat(parts).toString();
 };
 
-// The answer to an earlier request comes late on a connection that is used
-// again. The caller must get its own answer: the stray one is dropped with its
-// connection, the door is asked on a new one and gives the right answer.
-t.test('another request\'s answer is dropped with its connection', async t => {
-	const door = await createFakeDoor(t, 'ran', {
+// The answer to an earlier request arrives late on a reused connection. The caller
+// must get its own answer: the connection with the wrong one is closed, and the
+// right answer is fetched on a new connection.
+t.test('another request\'s answer is discarded with its connection', async t => {
+	const gate = await createFakeGate(t, 'ran', {
 		async first(response) {
-			begin(response, 'request-0');
+			beginAnswer(response, 'request-0');
 			response.write('not yours');
 			await new Promise(resolve => {
 				response.once('close', resolve);
 			});
-			door.asked.push('closed');
+			gate.calls.push('closed');
 		},
-		resume: sendWhole,
+		resume: sendComplete,
 	});
-	t.equal(await readAll(await answerOf(attemptAt(door.address))), text);
-	t.same(door.asked.toSorted(), ['closed', 'resume 0', 'send', 'settle']);
-	t.equal(door.connections.size, 3, 'each on a connection of its own');
+	t.equal(await readAll(await answerOf(attemptAt(gate.address))), text);
+	t.same(gate.calls.toSorted(), ['closed', 'resume 0', 'send', 'settle']);
+	t.equal(gate.connections.size, 3, 'each call uses its own connection');
 });
 
-// The connection between entry and agent is cut in the middle of a stream. The
-// caller gets the whole answer: the entry reads on where it was cut off.
-t.test('a cut stream is read on at its offset', async t => {
-	const door = await createFakeDoor(t, 'running', {
+// The connection between entry and agent is closed in the middle of a stream. The
+// caller must get the complete answer: the entry resumes it at the offset reached.
+t.test('a disconnected stream is resumed at its offset', async t => {
+	const gate = await createFakeGate(t, 'running', {
 		first(response) {
-			begin(response);
+			beginAnswer(response);
 			response.write(text.slice(0, middle), () => {
 				setTimeout(() => {
 					response.destroy();
 				}, 20);
 			});
 		},
-		resume: sendWhole,
+		resume: sendComplete,
 	});
-	t.equal(await readAll(await answerOf(attemptAt(door.address))), text);
-	t.same(door.asked, ['send', `resume ${middle}`]);
+	t.equal(await readAll(await answerOf(attemptAt(gate.address))), text);
+	t.same(gate.calls, ['send', `resume ${middle}`]);
 });
 
-// The same, but the connection goes silent for good instead of being cut:
-// no error ever comes, and without a bound the caller would wait until its deadline.
-t.test('a stream that falls silent is read on on a new connection', async t => {
-	const door = await createFakeDoor(t, 'running', {
+// The same, but the connection becomes silent instead of being closed: no error
+// ever occurs, and without a timeout the caller would wait until its deadline.
+t.test('a stream that becomes silent is resumed on a new connection', async t => {
+	const gate = await createFakeGate(t, 'running', {
 		first(response) {
-			begin(response);
+			beginAnswer(response);
 			response.write(text.slice(0, middle));
 		},
-		resume: sendWhole,
+		resume: sendComplete,
 	});
-	t.equal(await readAll(await answerOf(attemptAt(door.address))), text);
-	t.same(door.asked, ['send', `resume ${middle}`]);
+	t.equal(await readAll(await answerOf(attemptAt(gate.address))), text);
+	t.same(gate.calls, ['send', `resume ${middle}`]);
 });
 
-// The connection is silent before the answer begins; the door says on a new
-// one that the request has run. The answer is fetched, the request not sent again.
-t.test('a request that ran behind a silent connection is not sent again', async t => {
-	const door = await createFakeDoor(t, 'ran', {
+// The connection becomes silent before the answer begins, and the gate reports on
+// a new connection that the request has run. The answer must be fetched without
+// sending the request again.
+t.test('a request that has run is not resent after its connection became silent', async t => {
+	const gate = await createFakeGate(t, 'ran', {
 		first() {
 		// Never answers.
-		}, resume: sendWhole,
+		}, resume: sendComplete,
 	});
-	t.equal(await readAll(await answerOf(attemptAt(door.address))), text);
-	t.same(door.asked, ['send', 'settle', 'resume 0']);
+	t.equal(await readAll(await answerOf(attemptAt(gate.address))), text);
+	t.same(gate.calls, ['send', 'settle', 'resume 0']);
 });
 
-// An engine takes its time before the first token, far longer than a
-// connection may be silent. The door's signs of life keep the entry waiting.
-t.test('signs of life keep a slow answer from being suspected', async t => {
-	const door = await createFakeDoor(t, 'running', {
+// An engine takes far longer for its first token than a connection may be silent.
+// The gate's keep-alive responses (102 Processing) must keep the entry waiting.
+t.test('keep-alive responses prevent the timeout of a slow answer', async t => {
+	const gate = await createFakeGate(t, 'running', {
 		async first(response) {
 			for (let count = 0; count < 10; count++) {
 				await delay(suspectMs / 3);
 				response.writeProcessing();
 			}
 
-			await sendWhole(response, 0);
+			await sendComplete(response, 0);
 		},
 	});
-	t.equal(await readAll(await answerOf(attemptAt(door.address))), text);
-	t.same(door.asked, ['send']);
+	t.equal(await readAll(await answerOf(attemptAt(gate.address))), text);
+	t.same(gate.calls, ['send']);
 });
 
-// One byte is changed on the way, or bytes are missing, or the end marker is
-// another's or absent. Each of these must not pass for a whole answer.
+// A byte is changed in transit, bytes are missing, or the end marker is absent or
+// belongs to another request or version. None of these may be accepted as complete.
 for (const [name, first] of Object.entries<Handler>({
 	'a changed byte'(response) {
-		begin(response);
+		beginAnswer(response);
 		response.write(text.replace('two', 'twO'));
-		end(response);
+		endAnswer(response);
 	},
 	'missing bytes'(response) {
-		begin(response);
+		beginAnswer(response);
 		response.write(text.slice(0, middle));
-		end(response);
+		endAnswer(response);
 	},
 	'another request\'s end marker'(response) {
-		begin(response);
+		beginAnswer(response);
 		response.write(text);
-		end(response, {requestId: 'request-0'});
+		endAnswer(response, {requestId: 'request-0'});
 	},
 	'another version\'s end marker'(response) {
-		begin(response);
+		beginAnswer(response);
 		response.write(text);
-		end(response, {versionId: 'pitch-desk:v2'});
+		endAnswer(response, {versionId: 'pitch-desk:v2'});
 	},
 	'no end marker'(response) {
-		begin(response);
+		beginAnswer(response);
 		response.end(text);
 	},
 })) {
-	t.test(`an answer with ${name} is not whole`, async t => {
-		const door = await createFakeDoor(t, 'ran', {first});
-		await t.rejects(readAll(await answerOf(attemptAt(door.address))), BrokenAnswerError);
+	t.test(`an answer with ${name} is not complete`, async t => {
+		const gate = await createFakeGate(t, 'ran', {first});
+		await t.rejects(readAll(await answerOf(attemptAt(gate.address))), BrokenAnswerError);
 	});
 }
 
-// What the door answers when it is asked decides what the caller is told.
-for (const [settled, verdict] of [['notRun', 'notRun'], ['unknown', 'mayHaveRun']] as const) {
-	t.test(`a silent connection, settled as ${settled}, gives ${verdict}`, async t => {
-		const door = await createFakeDoor(t, settled, {
+// The gate's answer about an unresolved request determines the verdict for the caller.
+for (const [settleResult, verdict] of [['notRun', 'notRun'], ['unknown', 'mayHaveRun']] as const) {
+	t.test(`a silent connection, resolved as ${settleResult}, gives ${verdict}`, async t => {
+		const gate = await createFakeGate(t, settleResult, {
 			first() {
 			// Never answers.
 			},
 		});
-		t.match(await dispatch(attemptAt(door.address)), {type: 'verdict', verdict: {type: verdict}});
+		t.match(await dispatch(attemptAt(gate.address)), {type: 'verdict', verdict: {type: verdict}});
 	});
 }
 
 t.test('a host that refuses connections has run nothing', async t => {
-	const door = await createFakeDoor(t, 'ran', {first: sendWhole});
+	const gate = await createFakeGate(t, 'ran', {first: sendComplete});
 	const gone = await createHttpServer({
 		listen: '127.0.0.1:0',
 		async handler() {
-			// Nobody calls.
+			// Never called.
 		},
 	});
 	await gone.close();
 	t.match(await dispatch(attemptAt(gone.address)), {type: 'verdict', verdict: {type: 'notRun'}});
-	t.same(door.asked, []);
+	t.same(gate.calls, []);
 });
 
-// The connection is reset after the request went out, and nobody can be asked:
-// the agent may have passed the request on before it died.
-t.test('a host that dies after it got the request may have run it', async t => {
+// The connection is reset after the request was sent, and the outcome cannot be
+// queried: the agent may have passed the request to the engine before it died.
+t.test('a host that dies after it received the request may have run it', async t => {
 	const server = await createHttpServer({
 		listen: '127.0.0.1:0',
 		async handler(request) {
@@ -257,15 +258,16 @@
 	t.match(await dispatch(attemptAt(server.address)), {type: 'verdict', verdict: {type: 'mayHaveRun'}});
 });
 
-// The caller hangs up while the endpoint works. The run is cancelled at the
-// door, or it would hold its slot until the engine has finished for nobody.
-t.test('a request that is given up is cancelled at the door', async t => {
+// The caller disconnects while the endpoint processes the request. The run must be
+// cancelled at the request gate, or it would occupy its slot until the engine has
+// finished an unneeded answer.
+t.test('an abandoned request is cancelled at the request gate', async t => {
 	const abort = new AbortController();
-	const door = await createFakeDoor(t, 'running', {
+	const gate = await createFakeGate(t, 'running', {
 		first() {
 			abort.abort('callerGone');
 		},
 	});
-	t.match(await dispatch(attemptAt(door.address, {signal: abort.signal})), {type: 'verdict', verdict: {type: 'mayHaveRun', reason: 'the caller hung up'}});
-	t.same(door.asked, ['send', 'cancel']);
+	t.match(await dispatch(attemptAt(gate.address, {signal: abort.signal})), {type: 'verdict', verdict: {type: 'mayHaveRun', reason: 'the caller hung up'}});
+	t.same(gate.calls, ['send', 'cancel']);
 });
--- a/packages/daemon/test/entry-crashes.test.ts
+++ b/packages/daemon/test/entry-crashes.test.ts
@@ -3,7 +3,7 @@
 import t, {type Test} from 'tap';
 import {createEntryRpc, createRequestLog} from '@bitternpaddle/daemon';
 
-const news = {
+const update = {
 	sightings: [{
 		fingerprint: 'a.b', address: 'h1', ageMs: 10, stage: 'begun',
 	}],
@@ -11,15 +11,15 @@
 };
 
 const listen = async (t: Test) => {
-	const heard: unknown[] = [];
+	const received: unknown[] = [];
 	const rpc = createEntryRpc({
 		entryId: 'entry-1', tokens: [{role: 'read', token: 'a token'}], counter: createBurnCounter(),
 		requests: createRequestLog({entryId: 'entry-1', serviceOf: () => '', onEnd: () => undefined}),
 		answerShares() {
-			throw new Error('not asked here');
+			throw new Error('unexpected request for shares');
 		},
-		hearCrashes(told) {
-			heard.push(told);
+		receiveCrashUpdate(receivedUpdate) {
+			received.push(receivedUpdate);
 		},
 	});
 	const server = await createHttpServer({
@@ -31,26 +31,26 @@
 	t.teardown(() => {
 		server.destroy();
 	});
-	const tell = async (parameters: object): Promise<unknown> => callRpc<unknown>({
+	const send = async (parameters: object): Promise<unknown> => callRpc<unknown>({
 		address: server.address, method: 'entry.crashes', params: parameters, timeoutMs: 5000,
 	});
-	return {heard, tell};
+	return {received, send};
 };
 
-// Callers reach this port too: one of them could have any request refused.
-t.test('news of crashes are taken from entries only', async t => {
-	const {heard, tell} = await listen(t);
-	await t.rejects(tell({token: 'a guess', ...news}));
-	await t.rejects(tell(news));
-	t.same(heard, []);
-	await tell({token: 'a token', ...news});
-	t.same(heard, [news]);
+// Callers can reach this port too: without the token check, a caller could get any request refused.
+t.test('crash updates are accepted from entries only', async t => {
+	const {received, send} = await listen(t);
+	await t.rejects(send({token: 'a guess', ...update}));
+	await t.rejects(send(update));
+	t.same(received, []);
+	await send({token: 'a token', ...update});
+	t.same(received, [update]);
 });
 
-t.test('news that are out of bounds are refused whole', async t => {
-	const {heard, tell} = await listen(t);
-	const [sighting] = news.sightings;
-	await t.rejects(tell({token: 'a token', ...news, sightings: [{...sighting, ageMs: -1}]}));
-	await t.rejects(tell({token: 'a token', ...news, sightings: Array.from({length: 300}, () => sighting)}));
-	t.same(heard, []);
+t.test('a crash update with values out of bounds is rejected completely', async t => {
+	const {received, send} = await listen(t);
+	const [sighting] = update.sightings;
+	await t.rejects(send({token: 'a token', ...update, sightings: [{...sighting, ageMs: -1}]}));
+	await t.rejects(send({token: 'a token', ...update, sightings: Array.from({length: 300}, () => sighting)}));
+	t.same(received, []);
 });
--- a/packages/daemon/test/limit-settings.test.ts
+++ b/packages/daemon/test/limit-settings.test.ts
@@ -18,7 +18,7 @@
 	return result.type === 'problems' ? result.problems : [];
 };
 
-/** Requests of 100 tokens, of one of two teams with equal shares, that are taken at once and stay waiting. */
+/** Offers requests of 100 tokens from teams with equal shares and counts those that are queued. */
 const countQueued = (settings: Settings, offered: number, teamIds = ['a']): number => {
 	const admission = createAdmission(limitsOf(settings));
 	setShares(admission, {teams: new Map([['a', 1], ['b', 1]]), entries: 1}, 0);
@@ -33,19 +33,19 @@
 	return queued;
 };
 
-t.test('each of the four limits does what its setting says', async t => {
+t.test('each of the four limit settings takes effect', async t => {
 	t.same(limitsOf(read({})), {
 		fleetTokensPerSecond: null, burstSeconds: 10, maxQueuedPerTeam: 512, maxQueuedPerTarget: 2048,
 	});
-	t.equal(countQueued(read({}), 1000), 512, 'without a limit only the queue bounds a team');
-	t.equal(countQueued(read({limitTokens: '200'}), 1000), 10, '100 a second for the team, ten seconds saved up');
+	t.equal(countQueued(read({}), 1000), 512, 'without a rate limit, only the queue bound applies to a team');
+	t.equal(countQueued(read({limitTokens: '200'}), 1000), 10, '100 tokens per second for the team, with a burst of ten seconds');
 	t.equal(countQueued(read({limitTokens: '200', limitBurstSeconds: '3'}), 1000), 3);
 	t.equal(countQueued(read({maxQueuedPerTeam: '7'}), 1000), 7);
-	t.equal(countQueued(read({maxQueuedPerTeam: '20', maxQueuedPerService: '20'}), 1000), 10, 'a team may hold as much as is still free');
-	t.equal(countQueued(read({maxQueuedPerTeam: '20', maxQueuedPerService: '21'}), 1000, ['a', 'b']), 14, 'and so may the next');
+	t.equal(countQueued(read({maxQueuedPerTeam: '20', maxQueuedPerService: '20'}), 1000), 10, 'a team may hold at most as many queue slots as are still free');
+	t.equal(countQueued(read({maxQueuedPerTeam: '20', maxQueuedPerService: '21'}), 1000, ['a', 'b']), 14, 'and the same applies to each of two teams');
 });
 
-t.test('the limits come from flags before the environment', async t => {
+t.test('flags take precedence over the environment for limits', async t => {
 	const environment = {
 		BITTERNPADDLE_LIMIT_TOKENS_PER_SECOND: '400', BITTERNPADDLE_LIMIT_BURST_SECONDS: '5', BITTERNPADDLE_MAX_QUEUED_PER_TEAM: '6', BITTERNPADDLE_MAX_QUEUED_PER_SERVICE: '70',
 	};
@@ -59,7 +59,7 @@
 	});
 });
 
-t.test('a wrong limit is refused by name', async t => {
+t.test('an invalid limit is rejected with the name of its flag', async t => {
 	for (const [key, name, wrong] of [
 		['limitTokens', 'limit-tokens-per-second', ['0', '-1', '1.5', 'many', '1000000001']],
 		['limitBurstSeconds', 'limit-burst-seconds', ['0', '3601', '1s']],
--- a/packages/daemon/test/limit-shares.test.ts
+++ b/packages/daemon/test/limit-shares.test.ts
@@ -21,13 +21,13 @@
 	const shares = createLimitShares({
 		entryId, admission,
 		listEntries: async () => addresses,
-		askShares: async (address, request) => entrySharesAnswerSchema.parse(await callRpc<unknown>({
+		requestShares: async (address, request) => entrySharesAnswerSchema.parse(await callRpc<unknown>({
 			address, method: 'entry.shares', params: {token: 'a shared token', request}, timeoutMs: 5000,
 		})),
 	});
 	const rpc = createEntryRpc({
 		entryId, tokens, counter: createBurnCounter(), requests: createRequestLog({entryId, serviceOf: () => '', onEnd: () => undefined}), answerShares: request => shares.answer(request),
-		hearCrashes: () => undefined,
+		receiveCrashUpdate: () => undefined,
 	});
 	const server = await createHttpServer({
 		listen: '127.0.0.1:0',
@@ -52,15 +52,15 @@
 
 const rateOf = ({admission}: Node): number => admission.teams.get('t')!.bucket!.ratePerSecond;
 
-/** Ticks all entries until the condition holds; `busy` is asked for far more than the limit. */
-const runUntil = async (nodes: readonly Node[], busy: Node | null, holds: () => boolean): Promise<void> => {
+/** Ticks all entries until the condition holds; `overloaded` is offered far more than the limit. */
+const runUntil = async (nodes: readonly Node[], overloaded: Node | null, holds: () => boolean): Promise<void> => {
 	for (let step = 0; !holds(); step++) {
 		for (const {shares} of nodes) {
 			shares.tick(performance.now());
 		}
 
-		if (busy !== null) {
-			offerRequest(busy.admission, {
+		if (overloaded !== null) {
+			offerRequest(overloaded.admission, {
 				requestId: `r${step}`, teamId: 't', target: 'm', cost: 200, priority: 0, deadlineAtMs: Number.MAX_SAFE_INTEGER,
 			}, performance.now());
 		}
@@ -69,34 +69,34 @@
 	}
 };
 
-// A team's callers are refused at half of its limit, since the balancer sends
-// them all to one of two entries. That entry asks the other over its port, and
-// has the whole limit after a while; the sum stays within the limit all the time.
-t.test('an entry borrows over the wire what the other does not need', async t => {
+// If the load balancer sends all callers of a team to one of two entries, they
+// would be refused at half of the team's limit. That entry must borrow the rest
+// over RPC until it has nearly the whole limit, and the sum must never exceed it.
+t.test('an entry borrows over RPC the share that another entry does not need', async t => {
 	const addresses = new Map<string, string>();
 	const first = await startNode(t, 'e1', addresses);
 	const second = await startNode(t, 'e2', addresses);
-	t.equal(rateOf(first), 0, 'nothing before it is known who shares the limit');
+	t.equal(rateOf(first), 0, 'no rate before the other entries are known');
 	await runUntil([first, second], null, () => rateOf(first) + rateOf(second) === tokensPerSecond);
 	t.equal(rateOf(first), tokensPerSecond / 2);
-	let worst = 0;
+	let maxSum = 0;
 	await runUntil([first, second], first, () => {
-		worst = Math.max(worst, rateOf(first) + rateOf(second));
+		maxSum = Math.max(maxSum, rateOf(first) + rateOf(second));
 		return rateOf(first) > 0.95 * tokensPerSecond;
 	});
-	t.ok(worst <= tokensPerSecond * 1.000_001, `at most ${worst}`);
+	t.ok(maxSum <= tokensPerSecond * 1.000_001, `at most ${maxSum}`);
 });
 
-// A restart of the only entry must not make its callers wait for a bucket to
-// fill: nobody else can have let through what would be in it.
-t.test('an entry that is alone begins with the whole limit', async t => {
+// After a restart of the only entry, its callers must not wait for a token bucket
+// to fill: no other entry can have admitted requests at its expense.
+t.test('a single entry starts with the whole limit', async t => {
 	const alone = await startNode(t, 'e1', new Map());
 	await runUntil([alone], null, () => rateOf(alone) === tokensPerSecond);
 	t.equal(alone.admission.teams.get('t')!.bucket!.level, tokensPerSecond * 10);
 });
 
-// A caller reaches this port too. One without the token would take a share away.
-t.test('an entry lends to nobody without a token that it knows', async t => {
+// Callers can reach this port too: without the token check, a caller could take a share away.
+t.test('an entry lends nothing to a caller without a known token', async t => {
 	const {address} = await startNode(t, 'e1', new Map());
 	const request = {
 		entryId: 'e2', incarnation: 1, number: 1, taken: 0, wants: {t: 100},
@@ -106,5 +106,5 @@
 	}));
 	t.match(await callRpc({
 		address, method: 'entry.shares', params: {token: 'a shared token', request}, timeoutMs: 5000,
-	}), {isCounted: false, loans: {}}, 'nor to one that control does not name');
+	}), {isCounted: false, loans: {}}, 'nor to an entry that control does not list');
 });
