--- a/packages/model/src/engine.ts
+++ b/packages/model/src/engine.ts
@@ -2,103 +2,103 @@
 import type {EngineProfile} from '@bitternpaddle/state';
 import type {Timeline} from './timeline.js';
 
-/** A request at an engine. */
+/** A request as an engine processes it. */
 export type EngineWork = {
 	readonly promptTokens: number;
 	readonly answerTokens: number;
-	/** 0 goes first among those that wait. */
+	/** Waiting requests start in ascending order; 0 is the most urgent. */
 	readonly urgency: number;
-	/** The first token is ready; the answer is on its way. */
+	/** Called when the first token is ready and streaming of the answer begins. */
 	onFirstToken(): void;
-	onEnd(): void;
-	/** The engine was lost, or stopped what it ran. */
-	onCut(): void;
+	onFinished(): void;
+	/** Called when the engine is down, or crashes while it holds the request. */
+	onAborted(): void;
 };
 
-type Running = {readonly work: EngineWork; unreadTokens: number; tokensLeft: number; hasBegun: boolean};
+type RunningRequest = {readonly work: EngineWork; remainingPromptTokens: number; remainingAnswerTokens: number; hasFirstToken: boolean};
 
-/** An engine with continuous batching: prompts are read in pieces between passes that write for all. */
+/** Simulated engine with continuous batching: each pass prefills a bounded chunk of the waiting prompts and decodes for all requests whose prompt is complete. */
 export type ModelEngine = {
 	readonly id: string;
 	readonly zoneId: string;
-	take(work: EngineWork): void;
+	submit(work: EngineWork): void;
 	report(): EngineReport;
-	/** Finishes what it runs, takes nothing new, and serves again `loadMs` later; `onReady` then. */
+	/** Finishes all queued and running requests while it reports itself busy, then loads for `loadMs`; calls `onReady` when it serves again. */
 	reload(loadMs: number, onReady: () => void): void;
-	/** Cuts all that it runs; serves again at `readyAtMs`, or never. */
+	/** Crashes the engine: aborts all its requests; it serves again at `readyAtMs`, or never if `null`. */
 	lose(readyAtMs: number | null): void;
-	/** Of the time until now, what it spent on passes. */
+	/** Total time spent on passes so far. */
 	busyMs(): number;
 };
 
-/** Tokens that are read in one step beside those that write. */
-const chunkTokens = 2048;
+/** Prompt tokens prefilled per step, beside the decoding requests. */
+const prefillTokensPerStep = 2048;
 
 export type EngineOptions = {readonly id: string; readonly zoneId: string; readonly profile: EngineProfile; readonly timeline: Timeline};
 
 export const createModelEngine = ({id, zoneId, profile, timeline}: EngineOptions): ModelEngine => {
 	const waiting: EngineWork[] = [];
-	let running: Running[] = [];
-	let isPassing = false;
-	let isLeaving = false;
+	let running: RunningRequest[] = [];
+	let isInPass = false;
+	let isReloading = false;
 	let readyAtMs: number | null = 0;
 	let reloadMs = 0;
 	let onReloaded = (): void => undefined;
 	let busyMs = 0;
-	/** Ends the passes of an engine that was lost. */
-	let start = 0;
+	/** Incremented by each crash, so that a pass started before it has no effect. */
+	let generation = 0;
 
-	const isOut = (): boolean => readyAtMs === null || timeline.nowMs() < readyAtMs;
+	const isUnavailable = (): boolean => readyAtMs === null || timeline.nowMs() < readyAtMs;
 
 	const admit = (): void => {
 		while (running.length < profile.slots && waiting.length > 0) {
 			const work = waiting.shift()!;
 			running.push({
-				work, unreadTokens: work.promptTokens, tokensLeft: work.answerTokens, hasBegun: false,
+				work, remainingPromptTokens: work.promptTokens, remainingAnswerTokens: work.answerTokens, hasFirstToken: false,
 			});
 		}
 	};
 
-	const read = (): number => {
-		let room = chunkTokens * profile.stepsPerPass;
-		const before = room;
+	const prefill = (): number => {
+		let tokenBudget = prefillTokensPerStep * profile.stepsPerPass;
+		const initialBudget = tokenBudget;
 		for (const request of running) {
-			const tokens = Math.min(room, request.unreadTokens);
-			request.unreadTokens -= tokens;
-			room -= tokens;
+			const tokens = Math.min(tokenBudget, request.remainingPromptTokens);
+			request.remainingPromptTokens -= tokens;
+			tokenBudget -= tokens;
 		}
 
-		return before - room;
+		return initialBudget - tokenBudget;
 	};
 
-	const endPass = (): void => {
-		for (const request of running.filter(({unreadTokens}) => unreadTokens === 0)) {
-			if (!request.hasBegun) {
-				request.hasBegun = true;
+	const finishPass = (): void => {
+		for (const request of running.filter(({remainingPromptTokens}) => remainingPromptTokens === 0)) {
+			if (!request.hasFirstToken) {
+				request.hasFirstToken = true;
 				request.work.onFirstToken();
 			}
 
-			request.tokensLeft -= profile.stepsPerPass;
+			request.remainingAnswerTokens -= profile.stepsPerPass;
 		}
 
-		const ended = running.filter(({tokensLeft}) => tokensLeft <= 0);
-		running = running.filter(({tokensLeft}) => tokensLeft > 0);
-		for (const {work} of ended) {
-			work.onEnd();
+		const finished = running.filter(({remainingAnswerTokens}) => remainingAnswerTokens <= 0);
+		running = running.filter(({remainingAnswerTokens}) => remainingAnswerTokens > 0);
+		for (const {work} of finished) {
+			work.onFinished();
 		}
 	};
 
-	const pass = (): void => {
-		if (isPassing || isOut()) {
+	const runPass = (): void => {
+		if (isInPass || isUnavailable()) {
 			return;
 		}
 
-		if (isLeaving && running.length === 0 && waiting.length === 0) {
-			isLeaving = false;
+		if (isReloading && running.length === 0 && waiting.length === 0) {
+			isReloading = false;
 			readyAtMs = timeline.nowMs() + reloadMs;
 			timeline.at(readyAtMs, () => {
 				onReloaded();
-				pass();
+				runPass();
 			});
 			return;
 		}
@@ -108,58 +108,58 @@
 			return;
 		}
 
-		const readTokens = read();
-		const writers = running.filter(({unreadTokens}) => unreadTokens === 0).length;
-		const tookMs = passMs(profile, writers) + readMs(profile, readTokens);
-		isPassing = true;
-		busyMs += tookMs;
-		const startOfPass = start;
-		timeline.after(tookMs, () => {
-			if (startOfPass === start) {
-				isPassing = false;
-				endPass();
-				pass();
+		const prefilledTokens = prefill();
+		const decodingCount = running.filter(({remainingPromptTokens}) => remainingPromptTokens === 0).length;
+		const passDurationMs = passMs(profile, decodingCount) + readMs(profile, prefilledTokens);
+		isInPass = true;
+		busyMs += passDurationMs;
+		const passGeneration = generation;
+		timeline.after(passDurationMs, () => {
+			if (passGeneration === generation) {
+				isInPass = false;
+				finishPass();
+				runPass();
 			}
 		});
 	};
 
 	return {
 		id, zoneId,
-		take(work) {
+		submit(work) {
 			if (readyAtMs === null) {
-				work.onCut();
+				work.onAborted();
 				return;
 			}
 
 			const index = waiting.findIndex(({urgency}) => urgency > work.urgency);
 			waiting.splice(index === -1 ? waiting.length : index, 0, work);
-			pass();
+			runPass();
 		},
 		report: () => ({
-			running: running.length, queued: waiting.length, pace: 1, isBusy: isLeaving || (isOut() && readyAtMs !== null && reloadMs > 0), isStrained: false,
-			version: isOut() && reloadMs === 0 ? null : 1, readyInMs: isOut() && readyAtMs !== null && reloadMs === 0 ? readyAtMs - timeline.nowMs() : null,
+			running: running.length, queued: waiting.length, pace: 1, isBusy: isReloading || (isUnavailable() && readyAtMs !== null && reloadMs > 0), isStrained: false,
+			version: isUnavailable() && reloadMs === 0 ? null : 1, readyInMs: isUnavailable() && readyAtMs !== null && reloadMs === 0 ? readyAtMs - timeline.nowMs() : null,
 		}),
 		reload(loadMs, onReady) {
-			isLeaving = true;
+			isReloading = true;
 			reloadMs = loadMs;
 			onReloaded = onReady;
-			pass();
+			runPass();
 		},
 		lose(nextReadyAtMs) {
-			start++;
-			isPassing = false;
-			isLeaving = false;
+			generation++;
+			isInPass = false;
+			isReloading = false;
 			reloadMs = 0;
 			readyAtMs = nextReadyAtMs;
-			const cut = [...running.map(({work}) => work), ...waiting];
+			const aborted = [...running.map(({work}) => work), ...waiting];
 			running = [];
 			waiting.length = 0;
-			for (const work of cut) {
-				work.onCut();
+			for (const work of aborted) {
+				work.onAborted();
 			}
 
 			if (nextReadyAtMs !== null) {
-				timeline.at(nextReadyAtMs, pass);
+				timeline.at(nextReadyAtMs, runPass);
 			}
 		},
 		busyMs: () => busyMs,
--- a/packages/model/src/entry.ts
+++ b/packages/model/src/entry.ts
@@ -7,7 +7,7 @@
 import type {EngineWork, ModelEngine} from './engine.js';
 import type {Timeline} from './timeline.js';
 
-/** A caller's request as an entry has it. */
+/** A caller's request as an entry receives it. */
 export type EntryRequest = {
 	readonly objectiveMs: number;
 	readonly deadlineAtMs: number;
@@ -16,12 +16,12 @@
 	readonly answerTokens: number;
 	readonly hasComeBack: boolean;
 	onFirstToken(): void;
-	onEnd(): void;
-	onCut(): void;
+	onFinished(): void;
+	onAborted(): void;
 	onRefused(retryAfterMs: number, heldMs: number): void;
 };
 
-/** An entry: the real steps of a request's placing, around it what the entry's loop does. */
+/** Simulated entry: the production placement code, driven by a model of the entry's loop. */
 export type ModelEntry = {
 	readonly zoneId: string;
 	readonly candidates: ReadonlyMap<string, Candidate>;
@@ -35,27 +35,27 @@
 	readonly entryCount: number;
 	readonly random: Random;
 	readonly timeline: Timeline;
-	readonly wayMs: (zoneId: string) => number;
+	readonly oneWayLatencyMs: (zoneId: string) => number;
 	readonly policy: EntryPolicy;
 };
 
-/** What decides about requests. */
+/** The decisions on requests that can be replaced in a simulation. */
 export type EntryPolicy = {
 	readonly step: typeof nextStep;
-	/** The place of a request in an engine's queue. */
+	/** Priority of a request in an engine's queue; 0 starts first. */
 	readonly urgency: typeof urgencyOf;
 };
 
-/** The product's own. */
+/** The production policy. */
 export const productPolicy: EntryPolicy = {step: nextStep, urgency: urgencyOf};
 
-type Waiting = {readonly seeking: SeekingRequest; readonly request: EntryRequest};
+type WaitingRequest = {readonly unplaced: SeekingRequest; readonly request: EntryRequest};
 
-/** As often as an entry's requests look again. */
-const lookMs = 40;
+/** Interval at which an entry tries again to place its waiting requests. */
+const recheckIntervalMs = 40;
 
-export const createModelEntry = ({zoneId, engines, profile, entryCount, random, timeline, wayMs, policy}: EntryOptions): ModelEntry => {
-	const byId = new Map(engines.map(engine => [engine.id, engine]));
+export const createModelEntry = ({zoneId, engines, profile, entryCount, random, timeline, oneWayLatencyMs, policy}: EntryOptions): ModelEntry => {
+	const enginesById = new Map(engines.map(engine => [engine.id, engine]));
 	const candidates = new Map(engines.map((engine): [string, Candidate] => [engine.id, {
 		announcement: {
 			id: engine.id, serviceName: 's', address: engine.id, zoneId: engine.zoneId, slots: profile.slots, state: 'ready', models: [{model: profile.model, version: 1}], startedAtMs: 0, sequence: 1,
@@ -63,32 +63,32 @@
 		load: createEndpointLoad(), health: createEndpointHealth(),
 	}]));
 	const candidateList = [...candidates.values()];
-	const sending = createArrivalRate();
+	const arrivalRate = createArrivalRate();
 	const objectives = createObjectiveMix();
-	const spareRoom = createSpareRoom();
+	const spareSlots = createSpareRoom();
 	let heldCount = 0;
-	let waiting: Waiting[] = [];
-	let isLooking = false;
-	let keys = 0;
+	let waiting: WaitingRequest[] = [];
+	let isRecheckScheduled = false;
+	let lastKey = 0;
 
 	const demand = (): ServiceDemand => ({
-		sending, objectives, spareRoom, heldCount, queuedCount: 0,
+		sending: arrivalRate, objectives, spareRoom: spareSlots, heldCount, queuedCount: 0,
 	});
 
 	const send = (request: EntryRequest, {placement: {candidate, expectedMs}}: Extract<NextStep, {type: 'send'}>): void => {
 		const {load, announcement} = candidate;
 		const nowMs = timeline.nowMs();
-		keys++;
-		const key = keys;
-		noteArrival(sending, nowMs);
+		lastKey++;
+		const key = lastKey;
+		noteArrival(arrivalRate, nowMs);
 		load.outstanding++;
 		load.awaiting.set(key, {promptTokens: request.promptTokens, sentAtMs: nowMs, expectedMs});
-		const backMs = wayMs(announcement.zoneId);
-		const end = (then: () => void): void => {
-			timeline.after(backMs, () => {
+		const latencyMs = oneWayLatencyMs(announcement.zoneId);
+		const finish = (notify: () => void): void => {
+			timeline.after(latencyMs, () => {
 				load.outstanding--;
 				load.awaiting.delete(key);
-				then();
+				notify();
 			});
 		};
 
@@ -99,54 +99,54 @@
 				usualSlackMs: strictestObjectiveMs(objectives, nowMs) - readMs(profile, profile.usualPromptTokens),
 			}),
 			onFirstToken() {
-				timeline.after(backMs, () => {
+				timeline.after(latencyMs, () => {
 					load.awaiting.delete(key);
 					request.onFirstToken();
 				});
 			},
-			onEnd() {
-				end(request.onEnd);
+			onFinished() {
+				finish(request.onFinished);
 			},
-			onCut() {
-				end(request.onCut);
+			onAborted() {
+				finish(request.onAborted);
 			},
 		};
-		timeline.after(backMs, () => {
-			byId.get(announcement.id)!.take(work);
+		timeline.after(latencyMs, () => {
+			enginesById.get(announcement.id)!.submit(work);
 		});
 	};
 
-	const leave = ({seeking}: Waiting): void => {
-		if (seeking.waitsFor === 'engines') {
+	const endWait = ({unplaced}: WaitingRequest): void => {
+		if (unplaced.waitsFor === 'engines') {
 			heldCount--;
 		}
 	};
 
-	const enter = (waits: Waiting, reason: WaitReason): void => {
-		const seeking = {...waits.seeking, waitsFor: reason};
+	const startWait = (waiter: WaitingRequest, reason: WaitReason): void => {
+		const unplaced = {...waiter.unplaced, waitsFor: reason};
 		if (reason === 'engines') {
 			heldCount++;
 		}
 
-		waiting.push({seeking, request: waits.request});
-		if (!isLooking) {
-			isLooking = true;
-			timeline.after(lookMs, lookAll);
+		waiting.push({unplaced, request: waiter.request});
+		if (!isRecheckScheduled) {
+			isRecheckScheduled = true;
+			timeline.after(recheckIntervalMs, recheckAll);
 		}
 	};
 
-	const look = (waits: Waiting): void => {
-		const {seeking, request} = waits;
+	const placeOrWait = (waiter: WaitingRequest): void => {
+		const {unplaced, request} = waiter;
 		const nowMs = timeline.nowMs();
 		const step = policy.step(demand(), {
 			candidates: candidateList, permitStateOf: () => ({type: 'available'}), profile, zoneId, entryCount, dues: [], leftMs: Number.POSITIVE_INFINITY, random, nowMs,
-		}, seeking);
-		if (step.type === 'wait' && step.reason === seeking.waitsFor) {
-			waiting.push(waits);
+		}, unplaced);
+		if (step.type === 'wait' && step.reason === unplaced.waitsFor) {
+			waiting.push(waiter);
 			return;
 		}
 
-		leave(waits);
+		endWait(waiter);
 		switch (step.type) {
 			case 'send': {
 				send(request, step);
@@ -154,27 +154,27 @@
 			}
 
 			case 'refuse': {
-				request.onRefused(step.retryAfterMs, nowMs - seeking.receivedAtMs);
+				request.onRefused(step.retryAfterMs, nowMs - unplaced.receivedAtMs);
 				return;
 			}
 
 			case 'wait': {
-				enter(waits, step.reason);
+				startWait(waiter, step.reason);
 			}
 		}
 	};
 
-	const lookAll = (): void => {
-		const looking = waiting;
+	const recheckAll = (): void => {
+		const rechecked = waiting;
 		waiting = [];
-		isLooking = false;
-		for (const waits of looking) {
-			look(waits);
+		isRecheckScheduled = false;
+		for (const waiter of rechecked) {
+			placeOrWait(waiter);
 		}
 
-		if (waiting.length > 0 && !isLooking) {
-			isLooking = true;
-			timeline.after(lookMs, lookAll);
+		if (waiting.length > 0 && !isRecheckScheduled) {
+			isRecheckScheduled = true;
+			timeline.after(recheckIntervalMs, recheckAll);
 		}
 	};
 
@@ -183,8 +183,8 @@
 		serve(request) {
 			const nowMs = timeline.nowMs();
 			noteObjective(objectives, request.objectiveMs, nowMs);
-			look({
-				request, seeking: {
+			placeOrWait({
+				request, unplaced: {
 					isLastTry: request.hasComeBack, deadlineAtMs: request.deadlineAtMs, retryClass: 'streaming', objectiveMs: request.objectiveMs, timeoutMs: request.timeoutMs,
 					promptTokens: request.promptTokens, mostAnswerTokens: 0, receivedAtMs: nowMs, sinceMs: nowMs, isBegun: false, sentCount: 0, triedIds: new Set(), waitsFor: null,
 				},
--- a/packages/model/src/scenario.ts
+++ b/packages/model/src/scenario.ts
@@ -1,48 +1,49 @@
 import type {EngineProfile} from '@bitternpaddle/state';
 
-/** What a kind of caller asks for. */
-export type ModelKind = {
+/** A class of callers and the requests they send. */
+export type CallerClass = {
 	readonly name: string;
-	/** Of all requests. */
+	/** Share of all requests. */
 	readonly share: number;
 	readonly objectiveMs: number;
 	readonly deadlineMs: number;
 	readonly promptTokens: number;
 	readonly answerTokens: number;
+	/** Value of an answer within the objective. */
 	readonly worth: number;
-	/** Of an answer that is late. */
+	/** Value of a late answer. */
 	readonly lateWorth: number;
 };
 
-/** From `fromS` on, so many times what the engines carry asks. */
+/** From `fromS` on, requests arrive at `factor` times the rate that the engines sustain. */
 export type LoadStep = {readonly fromS: number; readonly factor: number};
 
-/** What befalls engines. */
+/** A disturbance of the engines. */
 export type EngineEvent
-	/** Engines take turns to load other weights, so many of them at once. */
-	= | {readonly type: 'reload'; readonly atS: number; readonly atOnceShare: number}
-		/** All are lost, and are back one after the other. */
-		| {readonly type: 'restart'; readonly atS: number; readonly firstAfterMs: number; readonly lastAfterMs: number}
-		/** Some are gone for good. */
+	/** Rolling reload: the engines load other weights in turn, `concurrentShare` of them at a time. */
+	= | {readonly type: 'reload'; readonly atS: number; readonly concurrentShare: number}
+		/** All engines crash and become ready again one after the other. */
+		| {readonly type: 'restart'; readonly atS: number; readonly firstReadyAfterMs: number; readonly lastReadyAfterMs: number}
+		/** Some engines crash and never return. */
 		| {readonly type: 'loss'; readonly atS: number; readonly share: number}
-		/** Some start empty and are ready later. */
+		/** Some engines are not ready at first and join later. */
 		| {readonly type: 'join'; readonly atS: number; readonly share: number; readonly readyAfterMs: number};
 
 export type Scenario = {
 	readonly name: string;
 	readonly profile: EngineProfile;
-	readonly kinds: readonly ModelKind[];
+	readonly callerClasses: readonly CallerClass[];
 	readonly engineCount: number;
 	readonly entryCount: number;
 	readonly zoneCount: number;
-	readonly lengthS: number;
-	/** In the order of their times; the first one at 0. */
+	readonly durationS: number;
+	/** Sorted by time; the first one starts at 0. */
 	readonly load: readonly LoadStep[];
 	readonly events: readonly EngineEvent[];
 };
 
-/** Requests a second that the engines of a scenario carry when all places are taken all the time. */
-export const carriedPerSecond = ({engineCount, profile}: Scenario, {promptTokens, answerTokens}: {promptTokens: number; answerTokens: number}): number => {
+/** Requests per second that the engines of a scenario sustain with all slots in use all the time. */
+export const maxRequestsPerSecond = ({engineCount, profile}: Scenario, {promptTokens, answerTokens}: {promptTokens: number; answerTokens: number}): number => {
 	const passes = Math.ceil(answerTokens / profile.stepsPerPass);
 	const contextThousands = (promptTokens + (answerTokens / 2)) / 1000;
 	const passMs = profile.stepsPerPass * (profile.stepMs + (profile.slots * (profile.perSequenceMs + (profile.contextMsPerThousand * contextThousands))));
--- a/packages/model/src/scenarios.ts
+++ b/packages/model/src/scenarios.ts
@@ -1,6 +1,6 @@
 import type {EngineProfile} from '@bitternpaddle/state';
 import type {
-	EngineEvent, LoadStep, ModelKind, Scenario,
+	EngineEvent, LoadStep, CallerClass, Scenario,
 } from './scenario.js';
 
 type ProfileFields = Pick<EngineProfile, 'slots' | 'stepMs' | 'readTokensPerSecond' | 'usualAnswerTokens'> & Partial<EngineProfile>;
@@ -9,7 +9,7 @@
 	stepsPerPass: 6, perSequenceMs: 0.04, contextMsPerThousand: 0.02, usualPromptTokens: 973, kvCapacityTokens: 685_000, model: 'm', chunks: 48, chunkBytes: 49_152, loadMs: 300, ...fields,
 });
 
-/** Engines by how many requests they write for at once; the larger ones are faster, too. */
+/** Engine profiles by batch size; those with larger batches also have faster steps. */
 const profiles = {
 	batch8: profileOf({
 		slots: 8, stepMs: 11.1, readTokensPerSecond: 21_300, usualAnswerTokens: 84,
@@ -28,8 +28,8 @@
 export type ProfileName = keyof typeof profiles;
 export const profileNames = Object.keys(profiles) as ProfileName[];
 
-/** What callers ask for: mostly long drafts, or mostly short briefs with answers that are as long. */
-const works = {
+/** Workloads: `drafts` has mostly long prompts, `briefs` mostly short prompts with answers of the same length. */
+const workloads = {
 	drafts: [
 		{
 			name: 'layout', share: 0.44, objectiveMs: 500, deadlineMs: 6000, promptTokens: 1330, answerTokens: 90, worth: 2.2, lateWorth: 0.56,
@@ -52,12 +52,12 @@
 			name: 'notice', share: 0.26, objectiveMs: 400, deadlineMs: 6000, promptTokens: 650, answerTokens: 70, worth: 1.4, lateWorth: 0.34,
 		},
 	],
-} as const satisfies Record<string, readonly ModelKind[]>;
+} as const satisfies Record<string, readonly CallerClass[]>;
 
-export type WorkName = keyof typeof works;
-export const workNames = Object.keys(works) as WorkName[];
+export type WorkName = keyof typeof workloads;
+export const workNames = Object.keys(workloads) as WorkName[];
 
-/** How large the modelled deployment is. */
+/** Size of the simulated deployment. */
 export type ScenarioSize = {
 	readonly engineCount: number;
 	readonly entryCount: number;
@@ -80,10 +80,10 @@
 	'overload-1.3': {load: [{fromS: 0, factor: 1.3}]},
 	'overload-1.6': {load: [{fromS: 0, factor: 1.6}]},
 	burst: {load: [{fromS: 0, factor: 0.7}, {fromS: 5, factor: 1.8}, {fromS: 8, factor: 0.7}]},
-	wave: {load: [{fromS: 0, factor: 0.75}], events: [{type: 'reload', atS: 4, atOnceShare: 1 / 3}]},
+	wave: {load: [{fromS: 0, factor: 0.75}], events: [{type: 'reload', atS: 4, concurrentShare: 1 / 3}]},
 	restart: {
 		load: [{fromS: 0, factor: 0.75}], events: [{
-			type: 'restart', atS: 5, firstAfterMs: 3000, lastAfterMs: 4500,
+			type: 'restart', atS: 5, firstReadyAfterMs: 3000, lastReadyAfterMs: 4500,
 		}],
 	},
 	loss: {load: [{fromS: 0, factor: 0.8}], events: [{type: 'loss', atS: 5, share: 0.35}]},
@@ -92,13 +92,13 @@
 export type ScenarioName = keyof typeof shapes;
 export const scenarioNames = Object.keys(shapes) as ScenarioName[];
 
-const lengthS = 16;
+const durationS = 16;
 const zoneCount = 5;
 
-/** A scenario by its name, at a size. */
+/** Builds the named scenario for a deployment of the given size. */
 export const resolveScenario = (name: ScenarioName, {profile = 'batch8', work = 'drafts', ...size}: ScenarioSize): Scenario => {
 	const {load, events = []}: Shape = shapes[name];
 	return {
-		name, profile: profiles[profile], kinds: works[work], zoneCount, lengthS, load, events, ...size,
+		name, profile: profiles[profile], callerClasses: workloads[work], zoneCount, durationS, load, events, ...size,
 	};
 };
--- a/packages/model/src/timeline.ts
+++ b/packages/model/src/timeline.ts
@@ -1,13 +1,13 @@
 import TinyQueue from 'tinyqueue';
 
-type Event = {readonly atMs: number; readonly order: number; act(): void};
+type Event = {readonly atMs: number; readonly order: number; callback(): void};
 
-/** Virtual time: what is due runs in the order of its time, and of its entry where times are equal. */
+/** Virtual clock: events run in the order of their time; events at the same time run in the order in which they were scheduled. */
 export type Timeline = {
 	nowMs(): number;
-	at(atMs: number, act: () => void): void;
-	after(delayMs: number, act: () => void): void;
-	/** Runs all that is due until `untilMs`. */
+	at(atMs: number, callback: () => void): void;
+	after(delayMs: number, callback: () => void): void;
+	/** Runs all events up to and including `untilMs`. */
 	runUntil(untilMs: number): void;
 };
 
@@ -15,22 +15,22 @@
 	const events = new TinyQueue<Event>([], (a, b) => a.atMs - b.atMs || a.order - b.order);
 	let order = 0;
 	let nowMs = 0;
-	const at = (atMs: number, act: () => void): void => {
+	const at = (atMs: number, callback: () => void): void => {
 		order++;
-		events.push({atMs, order, act});
+		events.push({atMs, order, callback});
 	};
 
 	return {
 		nowMs: () => nowMs,
 		at,
-		after(delayMs, act) {
-			at(nowMs + delayMs, act);
+		after(delayMs, callback) {
+			at(nowMs + delayMs, callback);
 		},
 		runUntil(untilMs) {
 			for (let next = events.peek(); next !== undefined && next.atMs <= untilMs; next = events.peek()) {
 				events.pop();
 				nowMs = next.atMs;
-				next.act();
+				next.callback();
 			}
 
 			nowMs = untilMs;
--- a/packages/model/src/upper-bound.ts
+++ b/packages/model/src/upper-bound.ts
@@ -1,14 +1,14 @@
-import {carriedPerSecond, type EngineEvent, type Scenario} from './scenario.js';
+import {maxRequestsPerSecond, type EngineEvent, type Scenario} from './scenario.js';
 
-/** What no policy can exceed, if it knew all arrivals beforehand and engines' time could be split at will. */
+/** Shares of requests that no policy can exceed, even if it knew all arrivals in advance and engine time could be divided arbitrarily. */
 export type UpperBound = {readonly inTime: number; readonly served: number};
 
 const stepMs = 50;
 const msPerSecond = 1000;
-const reloadTurnMs = 1300;
+const reloadDurationMs = 1300;
 
-/** Of the engines, those that serve at a time. */
-const shareUp = (event: EngineEvent, atMs: number): number => {
+/** Share of the engines that serve at a given time. */
+const servingShare = (event: EngineEvent, atMs: number): number => {
 	const sinceMs = atMs - (event.atS * msPerSecond);
 	if (sinceMs < 0) {
 		return 1;
@@ -16,12 +16,12 @@
 
 	switch (event.type) {
 		case 'reload': {
-			return sinceMs < reloadTurnMs / event.atOnceShare ? 1 - event.atOnceShare : 1;
+			return sinceMs < reloadDurationMs / event.concurrentShare ? 1 - event.concurrentShare : 1;
 		}
 
 		case 'restart': {
-			const span = Math.max(1, event.lastAfterMs - event.firstAfterMs);
-			return Math.min(1, Math.max(0, (sinceMs - event.firstAfterMs) / span));
+			const span = Math.max(1, event.lastReadyAfterMs - event.firstReadyAfterMs);
+			return Math.min(1, Math.max(0, (sinceMs - event.firstReadyAfterMs) / span));
 		}
 
 		case 'loss': {
@@ -36,16 +36,16 @@
 
 type Batch = {readonly atMs: number; count: number};
 
-/** Serves batches within `withinMs` of their coming, the oldest first; the share that is served. */
-const serveWithin = (scenario: Scenario, carried: number, withinMs: number): number => {
+/** Serves batches within `withinMs` of their arrival, the oldest first; returns the share that is served. */
+const servedShareWithin = (scenario: Scenario, requestsPerSecond: number, withinMs: number): number => {
 	const waiting: Batch[] = [];
-	let asked = 0;
+	let arrived = 0;
 	let served = 0;
-	for (let atMs = 0; atMs < (scenario.lengthS * msPerSecond) + withinMs; atMs += stepMs) {
-		if (atMs < scenario.lengthS * msPerSecond) {
+	for (let atMs = 0; atMs < (scenario.durationS * msPerSecond) + withinMs; atMs += stepMs) {
+		if (atMs < scenario.durationS * msPerSecond) {
 			const {factor} = scenario.load.findLast(({fromS}) => fromS * msPerSecond <= atMs)!;
-			const count = carried * factor * stepMs / msPerSecond;
-			asked += count;
+			const count = requestsPerSecond * factor * stepMs / msPerSecond;
+			arrived += count;
 			waiting.push({atMs, count});
 		}
 
@@ -53,26 +53,27 @@
 			waiting.shift();
 		}
 
-		let room = carried * stepMs / msPerSecond * scenario.events.reduce((share, event) => share * shareUp(event, atMs), 1);
-		while (room > 0 && waiting.length > 0) {
-			const taken = Math.min(room, waiting[0]!.count);
-			waiting[0]!.count -= taken;
-			room -= taken;
-			served += taken;
+		let capacity = requestsPerSecond * stepMs / msPerSecond * scenario.events.reduce((share, event) => share * servingShare(event, atMs), 1);
+		while (capacity > 0 && waiting.length > 0) {
+			const batchServed = Math.min(capacity, waiting[0]!.count);
+			waiting[0]!.count -= batchServed;
+			capacity -= batchServed;
+			served += batchServed;
 			if (waiting[0]!.count <= 0) {
 				waiting.shift();
 			}
 		}
 	}
 
-	return served / asked;
+	return served / arrived;
 };
 
 export const upperBound = (scenario: Scenario): UpperBound => {
-	const mean = (field: 'promptTokens' | 'answerTokens' | 'objectiveMs' | 'deadlineMs'): number => scenario.kinds.reduce((sum, kind) => sum + (kind.share * kind[field]), 0);
-	const carried = carriedPerSecond(scenario, {promptTokens: mean('promptTokens'), answerTokens: mean('answerTokens')});
-	const answerMs = scenario.engineCount * scenario.profile.slots * msPerSecond / carried;
+	const mean = (field: 'promptTokens' | 'answerTokens' | 'objectiveMs' | 'deadlineMs'): number => scenario.callerClasses
+		.reduce((sum, callerClass) => sum + (callerClass.share * callerClass[field]), 0);
+	const requestsPerSecond = maxRequestsPerSecond(scenario, {promptTokens: mean('promptTokens'), answerTokens: mean('answerTokens')});
+	const answerMs = scenario.engineCount * scenario.profile.slots * msPerSecond / requestsPerSecond;
 	return {
-		inTime: serveWithin(scenario, carried, mean('objectiveMs')), served: serveWithin(scenario, carried, mean('deadlineMs') - answerMs),
+		inTime: servedShareWithin(scenario, requestsPerSecond, mean('objectiveMs')), served: servedShareWithin(scenario, requestsPerSecond, mean('deadlineMs') - answerMs),
 	};
 };
--- a/packages/model/src/world.ts
+++ b/packages/model/src/world.ts
@@ -6,37 +6,37 @@
 	createModelEntry, productPolicy, type EntryPolicy, type ModelEntry,
 } from './entry.js';
 import {
-	carriedPerSecond, type EngineEvent, type ModelKind, type Scenario,
+	maxRequestsPerSecond, type CallerClass, type EngineEvent, type Scenario,
 } from './scenario.js';
 import {
-	createTally, noteAsked, noteOutcome, summarize, type Result, type Tally,
+	createTally, recordOutcome, recordRequest, summarize, type Result, type Tally,
 } from './tally.js';
 import {createTimeline, type Timeline} from './timeline.js';
 
-export type PlayOptions = {
+export type ScenarioRunOptions = {
 	readonly scenario: Scenario;
 	readonly seed: number;
-	/** @default the product's */
+	/** @default the production policy */
 	readonly policy?: EntryPolicy;
 };
 
-export type Play = {readonly result: Result; readonly tally: Tally; /** Of the engines' time. */ readonly busyShare: number};
-
-const nearWayMs = 0.5;
-const farWayMs = 3;
-const reportMs = 100;
-/** Reports reach other zones by digests of what was last read. */
-const digestMs = 150;
-const loadMs = 300;
-/** The longest prompts have four times the usual length. */
-const sizes = [0.4, 0.6, 0.8, 1, 1, 1.2, 2] as const;
-/** Of what it has left, a caller waits no longer than this for its next try. */
-const mostReturnShare = 1 / 3;
-/** Requests that were asked for before the end are followed for so long. */
-const tailS = 8;
+export type ScenarioRun = {readonly result: Result; readonly tally: Tally; /** Share of the engines' time spent on passes. */ readonly busyShare: number};
+
+const sameZoneLatencyMs = 0.5;
+const crossZoneLatencyMs = 3;
+const reportIntervalMs = 100;
+/** Other zones receive digests of the latest reports, not the reports themselves. */
+const digestIntervalMs = 150;
+const weightLoadMs = 300;
+/** Prompt lengths relative to that of the caller class; each is equally likely. */
+const promptSizeFactors = [0.4, 0.6, 0.8, 1, 1, 1.2, 2] as const;
+/** Share of the time left to its deadline that a caller waits at most before its retry. */
+const maxRetryDelayShare = 1 / 3;
+/** Time after the last arrival during which the outcomes of pending requests are still recorded. */
+const followUpS = 8;
 const msPerSecond = 1000;
 
-type World = {
+type Simulation = {
 	readonly scenario: Scenario;
 	readonly timeline: Timeline;
 	readonly random: Random;
@@ -47,13 +47,13 @@
 
 const zoneOf = (index: number, {zoneCount}: Scenario): string => `zone-${index % zoneCount}`;
 
-const reportEngines = ({engines, entries, timeline}: World): void => {
-	type Read = {readonly report: EngineReport; readonly atMs: number};
-	const tell = ({report, atMs}: Read, to: readonly Candidate[], wayMs: number): void => {
-		timeline.after(wayMs, () => {
+const scheduleReports = ({engines, entries, timeline}: Simulation): void => {
+	type Sample = {readonly report: EngineReport; readonly atMs: number};
+	const deliver = ({report, atMs}: Sample, to: readonly Candidate[], latencyMs: number): void => {
+		timeline.after(latencyMs, () => {
 			for (const {load} of to) {
 				load.report = report;
-				load.reportedAtMs = atMs + wayMs;
+				load.reportedAtMs = atMs + latencyMs;
 			}
 		});
 	};
@@ -62,37 +62,37 @@
 		const candidatesOf = (isNear: boolean): Candidate[] => entries.filter(({zoneId}) => (zoneId === engine.zoneId) === isNear).map(({candidates}) => candidates.get(engine.id)!);
 		const near = candidatesOf(true);
 		const far = candidatesOf(false);
-		const everyMs = (periodMs: number, act: () => void): void => {
+		const repeatEvery = (periodMs: number, callback: () => void): void => {
 			const repeat = (): void => {
-				act();
+				callback();
 				timeline.after(periodMs, repeat);
 			};
 
 			timeline.at((index * 7) % periodMs, repeat);
 		};
 
-		let newest: Read = {report: engine.report(), atMs: 0};
-		everyMs(reportMs, () => {
-			newest = {report: engine.report(), atMs: timeline.nowMs()};
-			tell(newest, near, nearWayMs);
+		let latest: Sample = {report: engine.report(), atMs: 0};
+		repeatEvery(reportIntervalMs, () => {
+			latest = {report: engine.report(), atMs: timeline.nowMs()};
+			deliver(latest, near, sameZoneLatencyMs);
 		});
-		everyMs(digestMs, () => {
-			tell(newest, far, farWayMs);
+		repeatEvery(digestIntervalMs, () => {
+			deliver(latest, far, crossZoneLatencyMs);
 		});
 	}
 };
 
-const playEvent = ({engines, timeline, random}: World, event: EngineEvent): void => {
-	const some = (share: number): ModelEngine[] => engines.toSorted(() => drawShare(random) - 0.5).slice(0, Math.round(engines.length * share));
+const applyEvent = ({engines, timeline, random}: Simulation, event: EngineEvent): void => {
+	const randomEngines = (share: number): ModelEngine[] => engines.toSorted(() => drawShare(random) - 0.5).slice(0, Math.round(engines.length * share));
 	switch (event.type) {
 		case 'reload': {
-			const atOnce = Math.max(1, Math.floor(engines.length * event.atOnceShare));
+			const concurrentCount = Math.max(1, Math.floor(engines.length * event.concurrentShare));
 			const queue = [...engines];
 			const next = (): void => {
-				queue.shift()?.reload(loadMs, next);
+				queue.shift()?.reload(weightLoadMs, next);
 			};
 
-			for (let index = 0; index < atOnce; index++) {
+			for (let index = 0; index < concurrentCount; index++) {
 				next();
 			}
 
@@ -102,14 +102,14 @@
 		case 'restart': {
 			for (const [index, engine] of engines.entries()) {
 				const share = index / Math.max(1, engines.length - 1);
-				engine.lose(timeline.nowMs() + event.firstAfterMs + (share * (event.lastAfterMs - event.firstAfterMs)));
+				engine.lose(timeline.nowMs() + event.firstReadyAfterMs + (share * (event.lastReadyAfterMs - event.firstReadyAfterMs)));
 			}
 
 			return;
 		}
 
 		case 'loss': {
-			for (const engine of some(event.share)) {
+			for (const engine of randomEngines(event.share)) {
 				engine.lose(null);
 			}
 
@@ -117,61 +117,62 @@
 		}
 
 		case 'join': {
-			for (const [index, engine] of some(event.share).entries()) {
+			for (const [index, engine] of randomEngines(event.share).entries()) {
 				engine.lose(timeline.nowMs() + event.readyAfterMs + (index * 40));
 			}
 		}
 	}
 };
 
-const drawKind = (kinds: readonly ModelKind[], random: Random): ModelKind => {
-	let drawn = drawShare(random);
-	return kinds.find(({share}) => {
-		drawn -= share;
-		return drawn < 0;
-	}) ?? kinds.at(-1)!;
+const pickCallerClass = (callerClasses: readonly CallerClass[], random: Random): CallerClass => {
+	let remaining = drawShare(random);
+	return callerClasses.find(({share}) => {
+		remaining -= share;
+		return remaining < 0;
+	}) ?? callerClasses.at(-1)!;
 };
 
-const drawOf = <Item>(items: readonly Item[], random: Random): Item => items[random.between(0, items.length - 1)]!;
+const pickRandom = <Item>(items: readonly Item[], random: Random): Item => items[random.between(0, items.length - 1)]!;
 
-const ask = ({entries, timeline, random, tally}: World, kind: ModelKind): void => {
-	const askedAtMs = timeline.nowMs();
-	const deadlineAtMs = askedAtMs + kind.deadlineMs;
-	const home = drawOf(entries, random).zoneId;
-	const nearEntries = entries.filter(({zoneId}) => zoneId === home);
-	const size = drawOf(sizes, random);
+const simulateCaller = ({entries, timeline, random, tally}: Simulation, callerClass: CallerClass): void => {
+	const requestedAtMs = timeline.nowMs();
+	const deadlineAtMs = requestedAtMs + callerClass.deadlineMs;
+	const callerZoneId = pickRandom(entries, random).zoneId;
+	const nearEntries = entries.filter(({zoneId}) => zoneId === callerZoneId);
+	const sizeFactor = pickRandom(promptSizeFactors, random);
 	let firstTokenAtMs: number | null = null;
-	noteAsked(tally, kind.name, askedAtMs);
-	const end = (outcome: 'inTime' | 'late' | 'refused' | 'lost'): void => {
-		noteOutcome(tally, kind.name, askedAtMs, outcome);
+	recordRequest(tally, callerClass.name, requestedAtMs);
+	const finish = (outcome: 'inTime' | 'late' | 'refused' | 'lost'): void => {
+		recordOutcome(tally, callerClass.name, requestedAtMs, outcome);
 	};
 
 	const attempt = (hasComeBack: boolean): void => {
-		drawOf(nearEntries, random).serve({
-			objectiveMs: kind.objectiveMs, deadlineAtMs, timeoutMs: kind.deadlineMs, promptTokens: Math.round(kind.promptTokens * size), answerTokens: kind.answerTokens, hasComeBack,
+		pickRandom(nearEntries, random).serve({
+			objectiveMs: callerClass.objectiveMs, deadlineAtMs, timeoutMs: callerClass.deadlineMs,
+			promptTokens: Math.round(callerClass.promptTokens * sizeFactor), answerTokens: callerClass.answerTokens, hasComeBack,
 			onFirstToken() {
 				firstTokenAtMs = timeline.nowMs();
 			},
-			onEnd() {
+			onFinished() {
 				if (timeline.nowMs() > deadlineAtMs) {
-					end('lost');
+					finish('lost');
 				} else {
-					end(firstTokenAtMs! - askedAtMs <= kind.objectiveMs ? 'inTime' : 'late');
+					finish(firstTokenAtMs! - requestedAtMs <= callerClass.objectiveMs ? 'inTime' : 'late');
 				}
 			},
-			onCut() {
-				end('lost');
+			onAborted() {
+				finish('lost');
 			},
 			onRefused(retryAfterMs, heldMs) {
 				tally.refusals++;
 				tally.heldInVainMs += heldMs;
-				const leftMs = deadlineAtMs - timeline.nowMs();
-				if (hasComeBack || leftMs <= 0) {
-					end('refused');
+				const remainingMs = deadlineAtMs - timeline.nowMs();
+				if (hasComeBack || remainingMs <= 0) {
+					finish('refused');
 					return;
 				}
 
-				timeline.after(Math.min(retryAfterMs, leftMs * mostReturnShare), () => {
+				timeline.after(Math.min(retryAfterMs, remainingMs * maxRetryDelayShare), () => {
 					attempt(true);
 				});
 			},
@@ -181,27 +182,27 @@
 	attempt(false);
 };
 
-const askAll = (world: World): void => {
-	const {scenario, timeline, random} = world;
-	const {kinds, load, lengthS} = scenario;
-	const mean = (field: 'promptTokens' | 'answerTokens'): number => kinds.reduce((sum, kind) => sum + (kind.share * kind[field]), 0);
-	const carried = carriedPerSecond(scenario, {promptTokens: mean('promptTokens'), answerTokens: mean('answerTokens')});
+const scheduleCallers = (simulation: Simulation): void => {
+	const {scenario, timeline, random} = simulation;
+	const {callerClasses, load, durationS} = scenario;
+	const mean = (field: 'promptTokens' | 'answerTokens'): number => callerClasses.reduce((sum, callerClass) => sum + (callerClass.share * callerClass[field]), 0);
+	const requestsPerSecond = maxRequestsPerSecond(scenario, {promptTokens: mean('promptTokens'), answerTokens: mean('answerTokens')});
 	const next = (): void => {
 		const nowMs = timeline.nowMs();
-		if (nowMs >= lengthS * msPerSecond) {
+		if (nowMs >= durationS * msPerSecond) {
 			return;
 		}
 
-		ask(world, drawKind(kinds, random));
+		simulateCaller(simulation, pickCallerClass(callerClasses, random));
 		const {factor} = load.findLast(({fromS}) => fromS * msPerSecond <= nowMs)!;
-		timeline.after(-Math.log(1 - drawShare(random)) * msPerSecond / (carried * factor), next);
+		timeline.after(-Math.log(1 - drawShare(random)) * msPerSecond / (requestsPerSecond * factor), next);
 	};
 
 	timeline.at(0, next);
 };
 
-/** Plays a scenario from beginning to end in virtual time; the same seed gives the same play. */
-export const playScenario = ({scenario, seed, policy = productPolicy}: PlayOptions): Play => {
+/** Simulates a scenario in virtual time; the same seed gives the same run. */
+export const playScenario = ({scenario, seed, policy = productPolicy}: ScenarioRunOptions): ScenarioRun => {
 	const timeline = createTimeline();
 	const random = createRandom(seed);
 	const engines = Array.from({length: scenario.engineCount}, (_, index) => createModelEngine({
@@ -210,22 +211,23 @@
 	const entries = Array.from({length: scenario.entryCount}, (_, index) => {
 		const zoneId = zoneOf(index, scenario);
 		return createModelEntry({
-			zoneId, engines, profile: scenario.profile, entryCount: scenario.entryCount, random, timeline, policy, wayMs: other => other === zoneId ? nearWayMs : farWayMs,
+			zoneId, engines, profile: scenario.profile, entryCount: scenario.entryCount, random, timeline, policy,
+			oneWayLatencyMs: engineZoneId => engineZoneId === zoneId ? sameZoneLatencyMs : crossZoneLatencyMs,
 		});
 	});
-	const tally = createTally(scenario.kinds, scenario.lengthS);
-	const world: World = {
+	const tally = createTally(scenario.callerClasses, scenario.durationS);
+	const simulation: Simulation = {
 		scenario, timeline, random, tally, engines, entries,
 	};
-	reportEngines(world);
-	askAll(world);
+	scheduleReports(simulation);
+	scheduleCallers(simulation);
 	for (const event of scenario.events) {
 		timeline.at(event.atS * msPerSecond, () => {
-			playEvent(world, event);
+			applyEvent(simulation, event);
 		});
 	}
 
-	timeline.runUntil((scenario.lengthS + tailS) * msPerSecond);
+	timeline.runUntil((scenario.durationS + followUpS) * msPerSecond);
 	const busyMs = engines.reduce((sum, engine) => sum + engine.busyMs(), 0);
-	return {result: summarize(tally, scenario.kinds), tally, busyShare: busyMs / (engines.length * scenario.lengthS * msPerSecond)};
+	return {result: summarize(tally, scenario.callerClasses), tally, busyShare: busyMs / (engines.length * scenario.durationS * msPerSecond)};
 };
