--- a/packages/protocol/src/http/end-marker.ts
+++ b/packages/protocol/src/http/end-marker.ts
@@ -1,18 +1,18 @@
 import * as z from 'zod';
 
 /**
- * Closes every answer on its way from agent to entry. An answer without it,
- * or with another request id, byte count, digest or version, is not passed off as
- * whole: the connection may have been cut or have carried someone else's
- * answer.
+ * Trailer of every complete answer from an agent to an entry. An answer without
+ * it, or with a different request id, byte count, digest or version, is never
+ * reported as complete: the connection may have been cut, or may have carried
+ * the answer to another request.
  */
 export const endMarkerSchema = z.object({
 	requestId: z.string(),
 	sizeBytes: z.number().int().nonnegative(),
-	/** SHA-256 over the answer's bytes, in hexadecimal. */
+	/** SHA-256 of the answer's bytes, in hexadecimal. */
 	digest: z.string(),
 	versionId: z.string().nullable(),
-	/** The tag of base and adapter; missing if no adapter gave the answer. */
+	/** Identifies base and adapter, see `formatAdapterTag`; missing if no adapter produced the answer. */
 	adapterTag: z.string().optional(),
 });
 export type EndMarker = z.infer<typeof endMarkerSchema>;
--- a/packages/protocol/src/http/error-body.ts
+++ b/packages/protocol/src/http/error-body.ts
@@ -1,7 +1,7 @@
 import type {UnansweredVerdict} from '@bitternpaddle/state';
 import {match} from 'ts-pattern';
 
-/** The fixed shape of an error as a caller sees it. */
+/** Body of an error response to a caller. */
 export type ErrorBody = {
 	readonly error: {
 		readonly type: 'not_run' | 'may_have_run' | 'invalid_request' | 'unauthorized' | 'not_found' | 'conflict' | 'already_ran';
@@ -15,7 +15,7 @@
 
 const defaultRetryAfterMs = 1000;
 
-/** What a caller is told when no answer can be given. */
+/** The error response for a request that gets no answer. */
 export const errorResponseOf = (verdict: UnansweredVerdict, requestId: string | null): ErrorResponse => match(verdict)
 	.with({type: 'notRun'}, ({reason, isOverLimit = false, retryAfterMs = defaultRetryAfterMs}) => ({
 		status: isOverLimit ? 429 : 503,
--- a/packages/protocol/src/http/issue.ts
+++ b/packages/protocol/src/http/issue.ts
@@ -1,9 +1,9 @@
 import * as z from 'zod';
 
 /**
- * Numbers the requests of one sending process. A door that has forgotten a
- * request knows by the number that it may have forgotten it; no clocks are
- * compared.
+ * Sequence number of a request among those of one sending process. It tells a
+ * request gate whether it may have discarded its record of a request, without
+ * comparing clocks.
  */
 export const issueSchema = z.object({sender: z.string().min(1).max(128), sequence: z.number().int().nonnegative()});
 export type Issue = z.infer<typeof issueSchema>;
@@ -11,7 +11,7 @@
 export const formatIssue = ({sender, sequence}: Issue): string => `${sender}/${sequence}`;
 
 export const parseIssue = (text: string): Issue | null => {
-	const position = text.lastIndexOf('/');
-	const parsed = issueSchema.safeParse({sender: text.slice(0, position), sequence: Number(text.slice(position + 1))});
-	return position > 0 && parsed.success ? parsed.data : null;
+	const separatorIndex = text.lastIndexOf('/');
+	const parsed = issueSchema.safeParse({sender: text.slice(0, separatorIndex), sequence: Number(text.slice(separatorIndex + 1))});
+	return separatorIndex > 0 && parsed.success ? parsed.data : null;
 };
--- a/packages/protocol/src/language/complete-line.ts
+++ b/packages/protocol/src/language/complete-line.ts
@@ -2,47 +2,47 @@
 import {subjectFields, subjectSchema} from './subject-fields.js';
 
 export type Completion = {
-	/** The part of the line that the candidates replace: its last word. */
+	/** The last word of the line, which a candidate replaces. */
 	readonly word: string;
 	readonly candidates: readonly string[];
 };
 
-/** A character that no rule takes, so that the parser says what it expected in its place. */
-const stopper = '\u{1}';
+/** A character that no rule matches, so that the parser reports what it expected in its place. */
+const sentinel = '\u{1}';
 
-/** Words that may stand at the end of a line, from the grammar's own expectations there. */
+/** Returns the words that can complete a line, derived from what the parser expects at its end. */
 export const completeLine = (line: string): Completion => {
 	const word = /[\w.:\-]*$/v.exec(line)![0];
-	const before = line.slice(0, line.length - word.length);
-	return {word, candidates: expectedAfter(before).filter(candidate => candidate.startsWith(word))};
+	const prefix = line.slice(0, line.length - word.length);
+	return {word, candidates: expectedAfter(prefix).filter(candidate => candidate.startsWith(word))};
 };
 
-const expectedAfter = (before: string): string[] => {
+const expectedAfter = (prefix: string): string[] => {
 	try {
-		parse(before + stopper);
+		parse(prefix + sentinel);
 		return [];
 	} catch (error) {
-		// A mistake further to the left comes first; nothing after it can be completed.
-		if (!(error instanceof PeggySyntaxError) || error.location.start.offset !== before.length) {
+		// Nothing can be completed after an earlier syntax error.
+		if (!(error instanceof PeggySyntaxError) || error.location.start.offset !== prefix.length) {
 			return [];
 		}
 
 		const words = (error.expected ?? []).flatMap(item => item.type === 'literal' ? [item.text] : []);
 		const rules = (error.expected ?? []).flatMap(item => item.type === 'other' ? [item.description] : []);
-		return [...new Set([...words, ...rules.flatMap(rule => wordsOfRule(rule, before))])].toSorted();
+		return [...new Set([...words, ...rules.flatMap(rule => candidatesForRule(rule, prefix))])].toSorted();
 	}
 };
 
-/** Words of the grammar's named rules; a name that operators choose has none. */
-const wordsOfRule = (rule: string, before: string): string[] => {
+/** Candidates for a named rule of the grammar; a rule for names that operators choose has none. */
+const candidatesForRule = (rule: string, prefix: string): string[] => {
 	if (rule === 'field name') {
-		return fieldsFor(before);
+		return fieldsAfter(prefix);
 	}
 
 	return rule.startsWith('=, ') ? ['=', '!=', '<', '<=', '>', '>='] : [];
 };
 
-const fieldsFor = (before: string): string[] => {
-	const subject = subjectSchema.safeParse(/^\s*show\s+(?<subject>\w+)/v.exec(before)?.groups?.subject);
+const fieldsAfter = (prefix: string): string[] => {
+	const subject = subjectSchema.safeParse(/^\s*show\s+(?<subject>\w+)/v.exec(prefix)?.groups?.subject);
 	return subject.success ? Object.keys(subjectFields[subject.data]) : [];
 };
--- a/packages/protocol/src/language/condition.ts
+++ b/packages/protocol/src/language/condition.ts
@@ -1,6 +1,6 @@
 import * as z from 'zod';
 
-/** What the rows of an answer must fulfil. */
+/** A condition that the rows of a query result must meet. */
 export const conditionSchema = z.object({
 	field: z.string(),
 	operator: z.enum(['=', '!=', '<', '<=', '>', '>=']),
--- a/packages/protocol/src/language/statement-forms.ts
+++ b/packages/protocol/src/language/statement-forms.ts
@@ -1,16 +1,16 @@
-/** One form of statement, as help and the commands reference tell it. */
+/** One form of statement, as shown by the shell's help and the command reference. */
 export type StatementForm = {
 	readonly form: string;
 	readonly description: string;
-	/** The least role of a token that may send it. */
+	/** Minimum role of the token that sends it. */
 	readonly role: 'read' | 'operate' | 'administer';
-	/** A whole line; a test parses it. */
+	/** A complete line; a test checks that it parses. */
 	readonly example: string;
 };
 
 const manifest = `sha256:${'0'.repeat(64)}`;
 
-/** Every form of the operators' language. */
+/** Every statement form of the operators' language. */
 export const statementForms: readonly StatementForm[] = [
 	{
 		form: 'create model MODEL',
--- a/packages/protocol/src/language/statement.ts
+++ b/packages/protocol/src/language/statement.ts
@@ -5,12 +5,12 @@
 import * as z from 'zod';
 import {parse, SyntaxError as PeggySyntaxError} from '../../generated/command-parser.js';
 import {conditionSchema} from './condition.js';
-import {objectionTo, subjectSchema} from './subject-fields.js';
+import {checkCondition, subjectSchema} from './subject-fields.js';
 
 export const showSchema = z.object({type: z.literal('show'), subject: subjectSchema, where: z.array(conditionSchema)});
 export type Show = z.infer<typeof showSchema>;
 
-/** One line of the operators' language: a question, or a change to propose. */
+/** One line of the operators' language: a query, a change to propose, or a request for an explanation. */
 export type Statement
 	= | {readonly type: 'query'; readonly show: Show}
 		| {readonly type: 'change'; readonly change: Change}
@@ -18,12 +18,12 @@
 
 export type ParseError = {
 	readonly message: string;
-	/** Column of the first character that does not fit, from 1. */
+	/** Column of the first unexpected character, from 1. */
 	readonly column: number;
 	readonly expected: readonly string[];
 };
 
-/** What may stand at the place of the error: words in quotes, and the names of rules such as `name`. */
+/** What the parser expected at the position of the error: quoted words, and names of rules such as `name`. */
 export const describeExpected = (error: PeggySyntaxError): string[] => {
 	const names = (error.expected ?? []).flatMap(item => {
 		if (item.type === 'literal') {
@@ -37,23 +37,23 @@
 
 const explainSchema = z.object({type: z.literal('explain'), subject: z.enum(['request', 'replica']), id: z.string()});
 
-/** A condition with its place in the line, for errors. */
-const placedConditionSchema = conditionSchema.extend({column: z.number()});
+/** A condition with its column in the line, for error messages. */
+const locatedConditionSchema = conditionSchema.extend({column: z.number()});
 
 const checkShow = (parsed: Record<string, unknown>): Either<ParseError, Statement> => {
-	const conditions = z.array(placedConditionSchema).parse(parsed.where);
+	const conditions = z.array(locatedConditionSchema).parse(parsed.where);
 	const {subject} = showSchema.parse(parsed);
 	for (const condition of conditions) {
-		const objection = objectionTo(subject, condition);
-		if (objection !== null) {
-			return Left({...objection, column: condition.column});
+		const error = checkCondition(subject, condition);
+		if (error !== null) {
+			return Left({...error, column: condition.column});
 		}
 	}
 
 	return Right({type: 'query', show: showSchema.parse(parsed)});
 };
 
-/** Where only a space is missing, what should come after it says more. */
+/** If only a space is missing, reports what is expected after it too. */
 const describeError = (line: string, error: PeggySyntaxError): ParseError => {
 	const {offset, column} = error.location.start;
 	const expected = describeExpected(error);
@@ -69,7 +69,7 @@
 	}
 };
 
-/** Keys never leave the parser in clear: the catalog reaches every host. */
+/** Replaces the key by its digest: the catalog is distributed to every host and must not contain plaintext keys. */
 const hashTeamKey = (parsed: Record<string, unknown>): Record<string, unknown> => {
 	if (parsed.type !== 'createTeam') {
 		return parsed;
@@ -79,7 +79,7 @@
 	return {...rest, keyDigest: sha256(String(key))};
 };
 
-/** Parses one line. The error names the place in the line and what was expected there. */
+/** Parses one line. An error reports the column and what was expected there. */
 export const parseStatement = (line: string): Either<ParseError, Statement> => {
 	let parsed: Record<string, unknown>;
 	try {
--- a/packages/protocol/src/language/subject-fields.ts
+++ b/packages/protocol/src/language/subject-fields.ts
@@ -7,7 +7,7 @@
 
 export type FieldType = 'text' | 'number' | 'boolean';
 
-/** The columns of each answer. Conditions are checked against them before anybody is asked. */
+/** Columns of the query result for each subject. Conditions are checked against them before the query is sent. */
 export const subjectFields = {
 	replicas: {
 		host: 'text', zone: 'text', fleet: 'text', version: 'text', ready: 'boolean', serving: 'text', adapters: 'text', status: 'text',
@@ -41,10 +41,10 @@
 	},
 } as const satisfies Record<Subject, Record<string, FieldType>>;
 
-export type Objection = {readonly message: string; readonly expected: readonly string[]};
+export type ConditionError = {readonly message: string; readonly expected: readonly string[]};
 
-/** Why a condition cannot hold for any row of the subject, or `null`. */
-export const objectionTo = (subject: Subject, {field, operator, value}: Condition): Objection | null => {
+/** Returns why a condition is invalid for the rows of a subject, or `null`. */
+export const checkCondition = (subject: Subject, {field, operator, value}: Condition): ConditionError | null => {
 	const fields: Record<string, FieldType> = subjectFields[subject];
 	const type = fields[field];
 	if (type === undefined) {
--- a/packages/protocol/src/rpc/crashes.ts
+++ b/packages/protocol/src/rpc/crashes.ts
@@ -2,20 +2,20 @@
 
 const fingerprint = z.string().min(1).max(128);
 const ageMs = z.number().nonnegative();
-/** Above what one entry sees at the end of one endpoint. */
-const mostItems = 64;
+/** More than one entry records at the exit of one endpoint. */
+const maxItems = 64;
 
-/** One entry tells another which requests were at endpoints that ended; clocks of hosts differ, so times go as ages. */
+/** Reports to another entry the requests that endpoints held when they exited. Times are sent as ages, since the hosts' clocks differ. */
 export const entryCrashesParametersSchema = z.object({
-	/** Any administration token that both know: callers reach this port too. */
+	/** An administration token known to both entries, since callers can reach this port too. */
 	token: z.string(),
 	sightings: z.array(z.object({
 		fingerprint, address: z.string().min(1).max(256), ageMs, stage: z.enum(['waiting', 'begun', 'answering']),
-	})).max(mostItems),
-	/** Of these requests those that the teller has a verdict on. */
-	condemned: z.array(fingerprint).max(mostItems),
-	/** Requests that were seen to run to their end. */
-	clearances: z.array(z.object({fingerprint, ageMs})).max(mostItems),
+	})).max(maxItems),
+	/** Those of the reported requests that the sender has quarantined. */
+	condemned: z.array(fingerprint).max(maxItems),
+	/** Requests that ran to completion. */
+	clearances: z.array(z.object({fingerprint, ageMs})).max(maxItems),
 });
 export type EntryCrashesParameters = z.infer<typeof entryCrashesParametersSchema>;
 
--- a/packages/protocol/src/rpc/methods.ts
+++ b/packages/protocol/src/rpc/methods.ts
@@ -8,18 +8,18 @@
 
 const index = z.number().int().nonnegative();
 const term = z.number().int().nonnegative();
-/** The system that the sender belongs to; `null` until it has heard. */
+/** The system that the sender belongs to; `null` until the sender knows it. */
 const sender = {systemId: systemIdSchema.nullable().default(null)};
 
-/** A follower's clock, and the start of its process that the clock belongs to. */
+/** A reading of a follower's clock, and the incarnation of the process that the clock belongs to. */
 export const receiverStampSchema = z.object({incarnation: z.number().int(), atMs: z.number()});
 export type ReceiverStamp = z.infer<typeof receiverStampSchema>;
 
-/** Messages of consensus between control hosts. All are one-way; answers are messages too. */
+/** Consensus messages between control hosts. All are one-way; responses are separate messages. */
 export const consensusMessageSchema = z.discriminatedUnion('type', [
 	z.object({
 		type: z.literal('voteRequest'), term, isPreVote: z.boolean(), lastIndex: index, lastTerm: term,
-		/** The leader of the term before has stepped down and asked for this election. */
+		/** The leader of the previous term has stepped down and requested this election. */
 		isTransfer: z.boolean().optional(),
 	}),
 	z.object({
@@ -30,19 +30,19 @@
 		commitIndex: index, sentAtMs: z.number(),
 		/** Whether the leader held its lease when it sent this. */
 		hasLease: z.boolean(),
-		/** The newest stamp of the receiver that the leader has heard. */
+		/** The latest stamp that the leader has received from the addressee. */
 		echo: receiverStampSchema.nullable(),
 	}),
 	z.object({
 		type: z.literal('appendResponse'), term, success: z.boolean(), matchIndex: index,
-		/** From the request; `null` if that was of an older term and renews nothing. */
+		/** Copied from the request; `null` if the request was of an older term and renews no lease. */
 		sentAtMs: z.number().nullable(),
 		stamp: receiverStampSchema,
 	}),
 	z.object({
 		type: z.literal('snapshotRequest'), term, snapshot: snapshotSchema, sentAtMs: z.number(),
 	}),
-	/** From a leader that has stepped down: stand for election at once. */
+	/** Sent by a leader that has stepped down: the receiver starts an election immediately. */
 	z.object({type: z.literal('timeoutNow'), term}),
 ]);
 export type ConsensusMessage = z.infer<typeof consensusMessageSchema>;
@@ -50,28 +50,28 @@
 export const consensusEnvelopeSchema = z.object({from: z.string(), to: z.string(), message: consensusMessageSchema});
 export const consensusEnvelopesSchema = z.object({envelopes: z.array(consensusEnvelopeSchema)});
 
-/** What a control host has noted about who the first voters are; the answer of `control.formation`. */
+/** What a control host has recorded about the first voters; the result of `control.formation`. */
 export const formationSchema = z.object({
 	diskId: z.string().min(1), accepted: z.record(z.string(), z.string()).nullable(), isFormed: z.boolean(),
 });
 export const formationParametersSchema = z.object({});
 
-/** A control host, as `host#disk`, that no leader supplies. */
+/** A control host, as `host#disk`, that receives the log from no leader. */
 export const standbyParametersSchema = z.object({memberId: z.string()});
 
 export type ConsensusEnvelope = z.infer<typeof consensusEnvelopeSchema>;
 
-/** One transfer of weights on a host, as `show transfers` prints it. */
+/** A transfer of weights to a host, as printed by `show transfers`. */
 export const transferStatusSchema = z.object({
 	versionId: versionIdSchema,
-	/** Set when the weights are an adapter to that version. */
+	/** Set if the weights are an adapter for that version. */
 	adapterId: adapterIdSchema.optional(),
 	manifestId: manifestIdSchema, heldChunks: index, totalChunks: index,
 	originBytes: index, peerBytes: index, state: z.enum(['fetching', 'verifying', 'activating', 'ready', 'failed']), detail: z.string(),
 });
 export type TransferStatus = z.infer<typeof transferStatusSchema>;
 
-/** What a host says about itself with every renewal; control keeps it in memory only. */
+/** A host's report about itself, sent with each lease renewal; control hosts keep it in memory only. */
 export const hostReportSchema = z.object({
 	hostId: z.string(),
 	role: z.enum(['entry', 'agent']),
@@ -82,14 +82,14 @@
 	readyVersionId: versionIdSchema.nullable(),
 	/** Adapters of the ready version that the engine holds; missing if none. */
 	readyAdapterIds: z.array(adapterIdSchema).optional(),
-	/** The host has begun its graceful stop. */
+	/** The host has started its graceful shutdown. */
 	isLeaving: z.boolean(),
 	transfers: z.array(transferStatusSchema),
-	/** Hosts that this entry cannot get answers from at present. */
+	/** Hosts that currently fail to answer this entry. */
 	failingHostIds: z.array(z.string()).optional(),
-	/** Outcomes of this entry's attempts since it started, by fleet. */
+	/** Outcomes of this entry's attempts since its start, by fleet. */
 	fleetOutcomes: z.array(z.object({fleetId: z.string(), answered: index, failed: index})).optional(),
-	/** What this entry counted towards each service's objectives since it started. */
+	/** Counts of this entry towards each service's objective since its start. */
 	serviceOutcomes: z.array(z.object({
 		serviceId: z.string(), total: index, notWhole: index, timed: index, slow: index,
 	})).optional(),
@@ -98,15 +98,15 @@
 
 export const watchParametersSchema = z.object({
 	hostId: z.string(),
-	/** Grows whenever the host turns to another control host, so that the newest place is known whatever order reports come in. */
+	/** Increases whenever the host switches to another control host, so that the latest one is known even if reports arrive out of order. */
 	session: index,
 	revision: index,
 	/** Digest of the configuration at `revision`. */
 	digest: z.string(),
 	...sender,
-	/** `null` while it is as this control host was told before in this session. */
+	/** `null` if unchanged since the last report to this control host in this session. */
 	report: hostReportSchema.nullable(),
-	/** How long control may hold the call when nothing changes. */
+	/** Maximum duration of the long poll while nothing changes. */
 	waitMs: index,
 });
 export type WatchParameters = z.infer<typeof watchParametersSchema>;
@@ -115,8 +115,8 @@
 export type RevisedChange = z.infer<typeof revisedChangeSchema>;
 
 /**
- * Answer to a watch: the gap since the host's revision, or everything.
- * `unknownHost` asks for the call again, with the report in it.
+ * Result of a watch: the changes since the host's revision, or a snapshot.
+ * `unknownHost` tells the host to repeat the call with its report.
  */
 export type WatchResult
 	= | {readonly type: 'changes'; readonly changes: readonly RevisedChange[]; readonly revision: number; readonly digest: string; readonly leaseMs: number}
@@ -124,7 +124,7 @@
 			readonly type: 'snapshot';
 			/** A catalog as JSON, gzip, base64. */
 			readonly catalog: string;
-			/** What was accepted since the catalog was written. */
+			/** Changes accepted since the catalog was encoded. */
 			readonly changes: readonly RevisedChange[];
 			readonly revision: number;
 			readonly digest: string;
@@ -133,21 +133,21 @@
 		| {readonly type: 'unknownHost'};
 
 /**
- * What a control host tells the leader about the hosts that watch at it, once
- * a second or when it changes. Hosts that are not named go on as they were, so
- * that the size does not follow from the number of hosts.
+ * Aggregate of the reports of the hosts that watch a control host, sent to the
+ * leader once a second or on a change. Hosts that are not listed are unchanged,
+ * so the size does not depend on the number of hosts.
  */
 export const foldSchema = z.object({
 	from: z.string(),
-	/** Grows whenever the sender starts anew with everything. */
+	/** Increases whenever the sender restarts with a complete aggregate. */
 	epoch: index,
-	/** 0: this is everything, forget what was said before. Otherwise one more than the last of the same epoch. */
+	/** 0: this aggregate is complete and replaces all earlier ones. Otherwise one more than that of the previous message of the epoch. */
 	sequence: index,
-	/** All hosts are at this revision or later, except those in `behind`. */
+	/** Minimum revision of all hosts except those in `behind`. */
 	revision: index,
-	/** Hosts that are new here, or whose report changed. */
+	/** Hosts that are new at the sender, or whose report changed. */
 	hosts: z.array(z.object({session: index, report: hostReportSchema})),
-	/** Hosts that are no longer heard here. */
+	/** Hosts that the sender no longer receives watches from. */
 	silent: z.array(z.object({hostId: z.string(), session: index, silentMs: z.number().nonnegative()})),
 	behind: z.array(z.object({hostId: z.string(), revision: index})),
 });
@@ -156,27 +156,27 @@
 export type FoldResult
 	= | {
 		readonly type: 'taken';
-		/** The leader's revision, read while a quorum followed it. */
+		/** The leader's revision, read while a quorum confirmed its leadership. */
 		readonly revision: number;
-		/** How long the sender may renew leases on this word. */
+		/** How long the sender may renew leases based on this result. */
 		readonly leaseMs: number;
 	}
 	| {readonly type: 'wantsAll'};
 
-/** What a control host heard last from the hosts that watch at it. */
+/** Requests the latest reports that a control host has received from the hosts that watch it. */
 export const reportsParametersSchema = z.object({});
 
 export const inForceParametersSchema = z.object({...sender, revision: index, isForwarded: z.boolean().default(false)});
 
-/** How far a revision has come. */
+/** How far a revision has taken effect. */
 export type InForceResult = {
 	readonly revision: number;
-	/** Hosts that are in service, or may still be. */
+	/** Number of hosts that are, or may still be, in service. */
 	readonly hosts: number;
 	readonly inForce: number;
-	/** Hosts in service that have not confirmed the revision; the first hundred. */
+	/** The first 100 hosts in service that have not confirmed the revision. */
 	readonly missing: readonly string[];
-	/** Hosts whose lease has run out: they take no work, so they count on neither side. */
+	/** Hosts whose lease has expired: they accept no work, so they are counted neither in `hosts` nor in `inForce`. */
 	readonly outOfService: readonly string[];
 };
 
@@ -189,37 +189,37 @@
 export type QueryResult = {
 	readonly revision: number;
 	readonly rows: readonly QueryRow[];
-	/** Entries that did not answer, where entries were asked; without the field all did. */
+	/** Entries that did not respond, if entries were queried; missing if all did. */
 	readonly missingEntries?: readonly string[];
 };
 
 export const settleParametersSchema = z.object({
 	attemptId: z.string(),
-	/** The incarnation that the request was sent to. */
+	/** The agent's incarnation that the request was sent to. */
 	incarnation: index,
 	issue: issueSchema,
-	/** End the request if it runs and may be ended: nobody waits for its answer. */
+	/** Cancels the request if it is running and may be cancelled, since nobody waits for its answer any more. */
 	isCancel: z.boolean().default(false),
 });
-export type SettleParameters = z.input<typeof settleParametersSchema>;
-/** `unknown`: this door cannot know, because its agent was restarted or has forgotten the request. */
+export type ResolveAttemptParameters = z.input<typeof settleParametersSchema>;
+/** `unknown`: the request gate cannot tell, because its agent was restarted or has discarded the record of the request. */
 export type SettleResult = {readonly type: 'ran' | 'running' | 'notRun' | 'unknown'};
 
 export const loadParametersSchema = z.object({});
-/** Requests that run at a host, of all entries. */
+/** Number of requests running on a host, from all entries. */
 export const loadResultSchema = z.object({running: index});
 export type LoadResult = z.infer<typeof loadResultSchema>;
 
-/** Chunks that a neighbour gained, and how long the sources of weights want to be left alone. */
+/** Chunks that a peer has obtained, and for how long the sources of weights have requested a backoff. */
 export const haveParametersSchema = z.object({
 	from: z.string(), address: z.string(), manifestId: manifestIdSchema, chunks: z.array(index),
-	/** The sender has just begun: `chunks` is all that it has, and it wants to be told the same. */
+	/** The sender has just started the transfer: `chunks` lists all that it holds, and it requests the same from the receiver. */
 	isGreeting: z.boolean(),
 	limitsMs: z.object({origin: index, store: index}),
 });
 export type HaveParameters = z.infer<typeof haveParametersSchema>;
 
-/** Error codes of JSON-RPC answers; the numbers are in the range left to applications. */
+/** Error codes of JSON-RPC responses, outside the range that JSON-RPC reserves. */
 export const rpcErrorCodes = {
 	notLeader: 1001,
 	noQuorum: 1002,
--- a/packages/protocol/src/rpc/request-record.ts
+++ b/packages/protocol/src/rpc/request-record.ts
@@ -1,19 +1,19 @@
 import {verdictTypeSchema} from '@bitternpaddle/state';
 import * as z from 'zod';
 
-/** One try at one endpoint. Times count from the arrival of the request. */
+/** One attempt at one endpoint. Times are relative to the arrival of the request. */
 export const attemptRecordSchema = z.object({
 	number: z.number().int().positive(),
 	hostId: z.string(),
 	startedAfterMs: z.number(),
-	/** `null` while the endpoint is at work. */
+	/** `null` while the attempt is in progress. */
 	endedAfterMs: z.number().nullable(),
 	verdict: verdictTypeSchema.nullable(),
 	reason: z.string().nullable(),
 });
 export type AttemptRecord = z.infer<typeof attemptRecordSchema>;
 
-/** What an entry remembers of one request. */
+/** An entry's record of one request. */
 export const requestRecordSchema = z.object({
 	requestId: z.string(),
 	entryId: z.string(),
@@ -21,14 +21,14 @@
 	serviceId: z.string(),
 	/** The model or service that the caller named. */
 	target: z.string(),
-	/** The entry's wall clock. */
+	/** By the entry's wall clock. */
 	arrivedAtMs: z.number(),
 	firstByteAfterMs: z.number().nullable(),
 	endedAfterMs: z.number().nullable(),
-	/** `cut`: the endpoint's answer was not whole; `abandoned`: the caller went away. */
+	/** `cut`: the endpoint's answer was incomplete; `abandoned`: the caller disconnected. */
 	state: z.enum(['inFlight', 'answered', 'refused', 'cut', 'abandoned']),
 	status: z.number().nullable(),
-	/** What the caller was told who got no answer. */
+	/** Verdict that was sent to the caller instead of an answer. */
 	verdict: verdictTypeSchema.nullable(),
 	reason: z.string().nullable(),
 	versionId: z.string().nullable(),
--- a/packages/protocol/src/rpc/shares.ts
+++ b/packages/protocol/src/rpc/shares.ts
@@ -3,9 +3,9 @@
 const count = z.number().int().nonnegative();
 const rates = z.record(z.string(), z.number().nonnegative());
 
-/** One entry asks another for a part of the fleet-wide limit, or only says that it is there. */
+/** Requests a share of the fleet-wide limit from another entry, or only announces the sender. */
 export const entrySharesParametersSchema = z.object({
-	/** Any administration token that both know: callers reach this port too. */
+	/** An administration token known to both entries, since callers can reach this port too. */
 	token: z.string(),
 	request: z.object({
 		entryId: z.string(),
--- a/packages/protocol/test/language.test.ts
+++ b/packages/protocol/test/language.test.ts
@@ -58,7 +58,7 @@
 	}
 });
 
-t.test('completion comes from the grammar', async t => {
+t.test('completions follow from the grammar', async t => {
 	const cases: Array<[string, readonly string[]]> = [
 		['', ['create', 'drain', 'explain', 'load', 'move', 'resume', 'retire', 'roll', 'set', 'show', 'stop', 'undrain', 'unload', 'withdraw']],
 		['s', ['set', 'show', 'stop']],
@@ -83,7 +83,7 @@
 	t.equal(completeLine('show re').word, 're');
 });
 
-t.test('every form in the reference has an example that parses, and every statement has a form', async t => {
+t.test('every statement form has an example that parses, and every statement of the grammar has a form', async t => {
 	const types = new Set(statementForms.map(({example, form}) => {
 		const statement = parseStatement(example).caseOf({
 			Left(error) {
@@ -94,6 +94,6 @@
 		return statement.type === 'change' ? statement.change.type : statement.type;
 	}));
 	const grammar = await readFile('packages/protocol/src/language/command.peggy', 'utf8');
-	const inGrammar = new Set([...grammar.matchAll(/type: '(\w+)'|return '(\w+)'/gv)].map(found => found[1] ?? found[2]!));
-	t.same([...types].toSorted(), [...inGrammar].map(type => type === 'show' ? 'query' : type).toSorted());
+	const typesInGrammar = new Set([...grammar.matchAll(/type: '(\w+)'|return '(\w+)'/gv)].map(found => found[1] ?? found[2]!));
+	t.same([...types].toSorted(), [...typesInGrammar].map(type => type === 'show' ? 'query' : type).toSorted());
 });
