--- a/packages/daemon/src/host/configuration-client.ts
+++ b/packages/daemon/src/host/configuration-client.ts
@@ -8,78 +8,78 @@
 } from '@bitternpaddle/protocol';
 import type {Catalog, Change, Command} from '@bitternpaddle/state';
 import {callRpc, type Logger} from '@bitternpaddle/transport';
-import {createWatchPlace} from './watch-place.js';
+import {createControlSelector} from './watch-place.js';
 
 export type ConfigurationClientOptions = {
 	/** Addresses of control hosts; read at each call. */
 	readonly controls: readonly string[];
 	readonly logger: Logger;
-	/** What this host says with each renewal. */
+	/** The status of this host, sent with each renewal. */
 	report(): HostReport;
-	/** `changes` led to the catalog; `null` when it came as a whole. */
+	/** `changes` are those that led to the catalog; `null` if it was received as a complete snapshot. */
 	onChange(catalog: Catalog, changes: readonly Change[] | null): void;
-	/** How long control may hold a call. @default 600 */
+	/** How long control may hold a long poll open. @default 600 */
 	readonly waitMs?: number;
 };
 
-/** What a host acts on; without the lease it refuses new work. */
+/** The configuration that a host acts on; without the lease it refuses new requests. */
 export type ConfigurationInForce = {readonly revision: number; readonly digest: string; readonly hasLease: boolean};
 
 export type ConfigurationClient = {
 	catalog(): Catalog;
 	inForce(): ConfigurationInForce;
-	/** Whether this host may take new work. */
+	/** Whether this host may accept new requests. */
 	hasLease(): boolean;
-	/** How this host's configuration stands to another's. */
+	/** Compares this host's configuration with a peer's. */
 	compare(peer: {readonly revision: number; readonly digest: string | null}): PeerComparison;
-	/** Asks another control host at once, since the present one may have gone silent. */
+	/** Polls another control host immediately, because the current one may not respond any more. */
 	catchUp(): void;
-	/** Drops the copy and fetches another; no work is taken until it is here. */
+	/** Discards the configuration copy and fetches a new one; requests are refused until it has arrived. */
 	resync(): void;
-	/** Resolves once the host is at `revision` or later; `false` after `timeoutMs`. */
+	/** Resolves to `true` once the host has `revision` or a later one, to `false` after `timeoutMs`. */
 	reach(revision: number, timeoutMs: number): Promise<boolean>;
 	propose(command: Command): Promise<ProposeResult>;
 	query(show: Show): Promise<QueryResult>;
-	/** On how many hosts a revision is in force. */
+	/** Reports on how many hosts a revision is in force. */
 	spread(revision: number): Promise<InForceResult>;
-	/** Reports at once instead of with the next renewal. */
+	/** Reports immediately instead of with the next renewal. */
 	reportNow(): Promise<void>;
 	close(): void;
 };
 
 const hostTime = (): HostTime => ({monotonicMs: performance.now(), wallMs: Date.now()});
 
-/** Longer than a control host takes to hear its leader, which a host without a copy has to wait for. */
+/** Longer than a control host takes to receive an update from its leader, which a host without a copy has to wait for. */
 const catchUpHoldMs = 600;
 
-/** Keeps a host's configuration current: one call waits at a control host all the time. */
+/** Keeps a host's configuration up to date with a continuous long poll of a control host. */
 export const createConfigurationClient = (options: ConfigurationClientOptions): ConfigurationClient => {
 	const {controls, logger, report, onChange, waitMs = leaseTimes.holdMs} = options;
 	const configuration: HostConfiguration = createHostConfiguration();
-	const reached = new Set<() => void>();
-	const place = createWatchPlace(controls, () => report().hostId);
+	const revisionChecks = new Set<() => void>();
+	const selector = createControlSelector(controls, () => report().hostId);
 	let isClosed = false;
-	let hadLease = false;
-	let failuresInARow = 0;
+	let wasLeaseHeld = false;
+	let consecutiveFailures = 0;
 
 	const renewOnce = async ({holdMs, timeoutMs}: WatchCallTimes): Promise<void> => {
-		const said = report();
-		const sentAt = hostTime();
-		const {address, session, agent, isTold, tell} = place.at(said);
+		const status = report();
+		const requestedAt = hostTime();
+		const {address, session, agent, isReportKnown, recordReportKnown} = selector.at(status);
 		const result = await callRpc<WatchResult>({
 			address, method: 'control.watch', timeoutMs, agent,
 			params: {
-				systemId: configuration.systemId, hostId: said.hostId, session, revision: configuration.catalog.revision, digest: configuration.catalog.digest,
-				report: isTold ? null : said, waitMs: holdMs,
+				systemId: configuration.systemId, hostId: status.hostId, session, revision: configuration.catalog.revision, digest: configuration.catalog.digest,
+				report: isReportKnown ? null : status, waitMs: holdMs,
 			},
 		});
-		tell(result.type !== 'unknownHost');
-		const outcome = takeWatchResult(configuration, result, sentAt);
+		recordReportKnown(result.type !== 'unknownHost');
+		const outcome = takeWatchResult(configuration, result, requestedAt);
 		if (outcome === 'diverged') {
 			logger.event('BP3006', {revision: result.type === 'unknownHost' ? 0 : result.revision});
 		} else if (outcome === 'advanced') {
 			onChange(configuration.catalog, result.type === 'changes' ? result.changes.map(({change}) => change) : null);
-			for (const check of reached) {
+			for (const check of revisionChecks) {
 				check();
 			}
 		}
@@ -87,16 +87,16 @@
 
 	const hasLease = (): boolean => hasConfigurationLease(configuration, hostTime());
 
-	const noteLease = (): void => {
-		const holdsLease = hasLease();
-		if (hadLease && !holdsLease) {
+	const logLeaseLoss = (): void => {
+		const isLeaseHeld = hasLease();
+		if (wasLeaseHeld && !isLeaseHeld) {
 			logger.event('BP3005', {revision: configuration.catalog.revision});
 		}
 
-		hadLease = holdsLease;
+		wasLeaseHeld = isLeaseHeld;
 	};
 
-	const noteForeign = (error: unknown): void => {
+	const logForeignSystem = (error: unknown): void => {
 		if ((error as {code?: number}).code === rpcErrorCodes.foreignSystem) {
 			logger.event('BP3008', {message: (error as Error).message});
 		}
@@ -104,21 +104,21 @@
 
 	const isOpen = (): boolean => !isClosed;
 
-	const run = async (): Promise<void> => {
+	const watch = async (): Promise<void> => {
 		while (isOpen()) {
 			try {
 				await renewOnce(watchCallTimes({
-					hasCopy: configuration.catalog.revision > 0, leaseLeftMs: leaseLeftMs(configuration, hostTime()), failuresInARow, holdMs: waitMs,
+					hasCopy: configuration.catalog.revision > 0, leaseLeftMs: leaseLeftMs(configuration, hostTime()), failuresInARow: consecutiveFailures, holdMs: waitMs,
 				}));
-				failuresInARow = 0;
+				consecutiveFailures = 0;
 			} catch (error) {
-				noteForeign(error);
-				failuresInARow++;
-				place.leave();
+				logForeignSystem(error);
+				consecutiveFailures++;
+				selector.failOver();
 				await delay(leaseTimes.retryMs);
 			}
 
-			noteLease();
+			logLeaseLoss();
 		}
 	};
 
@@ -130,25 +130,25 @@
 
 		isCatchingUp = true;
 		try {
-			place.leave();
+			selector.failOver();
 			await renewOnce({holdMs: catchUpHoldMs, timeoutMs: catchUpHoldMs + leaseTimes.patientAnswerMs});
 		} catch {
-			// The watch goes on and tries the next control host.
+			// The watch loop continues and tries the next control host.
 		} finally {
 			isCatchingUp = false;
 		}
 	};
 
-	/** Tries each control host once; an answer with an error code from the leader is final. */
+	/** Tries each control host once; the error that the leader returns for an invalid call is final. */
 	const callAny = async <Result>(method: string, parameters: Record<string, unknown>, timeoutMs: number): Promise<Result> => {
-		let lastError: unknown = new Error('no control host is known');
-		for (const address of place.all()) {
+		let lastError: unknown = new Error('no control host is configured');
+		for (const address of selector.addresses()) {
 			try {
 				return await callRpc<Result>({
 					address, method, params: {...parameters, systemId: configuration.systemId}, timeoutMs,
 				});
 			} catch (error) {
-				lastError = moreTelling(lastError, error);
+				lastError = preferredError(lastError, error);
 				if (isFinalError(error)) {
 					throw error;
 				}
@@ -158,9 +158,9 @@
 		throw lastError;
 	};
 
-	// Not before the caller holds this client: its report asks for the revision.
+	// Deferred until the caller has the client, because its `report` reads the revision from it.
 	setImmediate(() => {
-		void run();
+		void watch();
 	});
 	return {
 		catalog: () => configuration.catalog,
@@ -185,10 +185,10 @@
 			}
 
 			return new Promise(resolve => {
-				const finish = (hasReached: boolean): void => {
+				const finish = (isReached: boolean): void => {
 					clearTimeout(timer);
-					reached.delete(check);
-					resolve(hasReached);
+					revisionChecks.delete(check);
+					resolve(isReached);
 				};
 
 				const check = (): void => {
@@ -200,7 +200,7 @@
 				const timer = setTimeout(() => {
 					finish(false);
 				}, timeoutMs);
-				reached.add(check);
+				revisionChecks.add(check);
 			});
 		},
 		propose: async command => callAny('control.propose', {command}, 9000),
@@ -215,7 +215,7 @@
 	};
 };
 
-/** What a control host said tells more than that another cannot be reached. */
-const moreTelling = (earlier: unknown, later: unknown): unknown => (earlier as {code?: number}).code === undefined ? later : earlier;
+/** Prefers an error returned by a control host over the failure to reach another one. */
+const preferredError = (earlier: unknown, later: unknown): unknown => (earlier as {code?: number}).code === undefined ? later : earlier;
 
 const isFinalError = (error: unknown): boolean => (error as {code?: number}).code === rpcErrorCodes.invalid;
--- a/packages/daemon/src/host/data-folder.ts
+++ b/packages/daemon/src/host/data-folder.ts
@@ -3,39 +3,39 @@
 import {DamagedLogError, replaceFile} from '@bitternpaddle/state';
 import * as z from 'zod';
 
-/** The data folder cannot or must not be used; the message names the path and what to do. */
+/** Thrown if the data folder cannot or must not be used; the message names the path and the remedy. */
 export class DataFolderError extends Error {
 	override readonly name = 'DataFolderError';
 }
 
-/** Grows when what lies in a data folder changes so that older programs cannot read it. */
+/** Increased whenever the data folder's format changes in a way that older programs cannot read. */
 const folderFormat = 1;
 
 const ownerSchema = z.object({format: z.number().int().positive(), role: z.string(), hostId: z.string()});
 
 export type DataFolderOwner = {readonly role: 'control' | 'agent'; readonly hostId: string};
 
-const adviceByCode: Readonly<Record<string, string>> = {
+const remedyByCode: Readonly<Record<string, string>> = {
 	EACCES: 'this process may not use it; give it to the user that runs the process',
 	EPERM: 'this process may not use it; give it to the user that runs the process',
-	EROFS: 'the disk is read-only; mend or replace it',
-	EIO: 'the disk fails; replace it, then restore this host from its peers',
+	EROFS: 'the disk is read-only; repair or replace it',
+	EIO: 'the disk reports I/O errors; replace it, then restore this host from its peers',
 	ENOSPC: 'the disk is full; free space and start again, nothing that was accepted is lost',
-	EDQUOT: 'the quota is used up; free space and start again, nothing that was accepted is lost',
+	EDQUOT: 'the disk quota is exhausted; free space and start again, nothing that was accepted is lost',
 	ENOTDIR: 'a file lies where a folder must be; move it away or give another --data-folder',
 	EEXIST: 'a file lies where a folder must be; move it away or give another --data-folder',
 	EISDIR: 'a folder lies where a file must be; move it away or give another --data-folder',
-	ELOOP: 'a link leads back to itself; move it away or give another --data-folder',
+	ELOOP: 'its symbolic links form a loop; move it away or give another --data-folder',
 };
 
-/** Says what to do about an error of the file system; other errors stay as they are. */
+/** Adds the remedy to a file system error; returns other errors unchanged. */
 export const explainFolderError = (error: Error, folder: string): Error => {
 	const {code = '', path: filePath = folder} = error as NodeJS.ErrnoException;
-	const advice = adviceByCode[code];
-	return advice === undefined ? error : new DataFolderError(`${filePath}: ${advice} (${code})`);
+	const remedy = remedyByCode[code];
+	return remedy === undefined ? error : new DataFolderError(`${filePath}: ${remedy} (${code})`);
 };
 
-/** Runs work on a data folder, with errors that say what to do. */
+/** Runs `work` on a data folder and adds the remedy to file system errors. */
 export const withFolder = async <Result>(folder: string, work: () => Promise<Result>): Promise<Result> => {
 	try {
 		return await work();
@@ -58,9 +58,9 @@
 };
 
 /**
- * Makes the folder this host's own, or refuses it. Two control hosts that
- * start from copies of one folder would both vote as the same member, and a
- * program that reads a newer format half would drop what it does not know.
+ * Claims the folder for this host, or throws. Two control hosts that start from
+ * copies of one folder would both vote as the same member, and a program that
+ * reads a newer format partially would drop the data that it does not know.
  */
 export const claimDataFolder = async (folder: string, {role, hostId}: DataFolderOwner): Promise<void> => withFolder(folder, async () => {
 	await mkdir(folder, {recursive: true});
@@ -72,7 +72,7 @@
 	}
 
 	if (owner.format > folderFormat) {
-		throw new DataFolderError(`${filePath} is of format ${owner.format}, this program knows up to ${folderFormat}; start the newer program, or an empty folder`);
+		throw new DataFolderError(`${filePath} is of format ${owner.format}, this program supports formats up to ${folderFormat}; start the newer program, or use an empty folder`);
 	}
 
 	if (owner.hostId !== hostId || owner.role !== role) {
--- a/packages/daemon/src/host/failing-hosts.ts
+++ b/packages/daemon/src/host/failing-hosts.ts
@@ -1,11 +1,11 @@
-/** Hosts that an entry cannot get answers from. Told to control, which weighs it against its own silence. */
+/** Hosts that do not respond to an entry. Reported to control, which compares the report with how long it has not received anything from the host itself. */
 export type FailingHosts = {
 	note(hostId: string, hasAnswered: boolean): void;
 	list(): string[];
 };
 
-/** A failure counts for this long unless the host answers. */
-const failureKeptMs = 30_000;
+/** How long a failure counts unless the host responds. */
+const failureRetentionMs = 30_000;
 const maxListed = 1000;
 
 export const createFailingHosts = (now: () => number = () => performance.now()): FailingHosts => {
@@ -19,7 +19,7 @@
 		},
 		list() {
 			for (const [hostId, atMs] of failedAtMs) {
-				if (now() - atMs > failureKeptMs) {
+				if (now() - atMs > failureRetentionMs) {
 					failedAtMs.delete(hostId);
 				}
 			}
--- a/packages/daemon/src/host/peers.ts
+++ b/packages/daemon/src/host/peers.ts
@@ -2,33 +2,33 @@
 import {configurationDigestHeader, revisionHeader} from '@bitternpaddle/protocol';
 import type {ConfigurationClient} from './configuration-client.js';
 
-/** What this host and the other end of a request tell each other about their configuration. */
+/** Exchanges the configuration revision and digest with the peer in the headers of requests and responses. */
 export type Peers = {
-	/** What this host acts on. */
+	/** Headers with the configuration that this host acts on. */
 	headers(): Record<string, string | number>;
-	/** Takes what came with an answer; catches up or starts anew meanwhile. */
+	/** Processes the headers of a response; catches up or fetches the configuration again in the background. */
 	note(headers: http.IncomingHttpHeaders): void;
-	/** Why a request that came with `headers` may not be served from this host's copy, or `null`; first catches up if it can. */
+	/** The reason why a request with `headers` may not be served from this host's configuration copy, or `null`; first tries to catch up. */
 	meet(headers: http.IncomingHttpHeaders, timeoutMs: number): Promise<string | null>;
 };
 
-/** After this long the watch is taken for silent, and another control host is asked. */
+/** How long the watch may take to deliver a revision before another control host is polled. */
 const watchGraceMs = 200;
 
-const peerOf = (headers: http.IncomingHttpHeaders): {revision: number; digest: string | null} => {
+const parsePeer = (headers: http.IncomingHttpHeaders): {revision: number; digest: string | null} => {
 	const digest = headers[configurationDigestHeader];
 	return {revision: Number(headers[revisionHeader] ?? 0), digest: typeof digest === 'string' ? digest : null};
 };
 
 /**
- * Compares configurations on the way of requests. A host whose connection to
- * control went silent would serve an old state until its lease ends; the first
- * request from a host that is ahead brings it up to date instead. Equal
- * revisions with unequal digests mean that one copy is wrong: nothing is
- * served, and both fetch theirs anew.
+ * Compares configurations along the path of requests. A host whose connection
+ * to control stalled would serve an outdated configuration until its lease
+ * ends; instead, the first request from a host with a newer revision makes it
+ * catch up. Equal revisions with different digests mean that one copy is wrong:
+ * the request is refused, and both hosts fetch their copy again.
  */
 export const createPeers = (configuration: ConfigurationClient): Peers => {
-	const reach = async (revision: number, timeoutMs: number): Promise<boolean> => {
+	const catchUpTo = async (revision: number, timeoutMs: number): Promise<boolean> => {
 		if (await configuration.reach(revision, watchGraceMs)) {
 			return true;
 		}
@@ -43,23 +43,23 @@
 			return {[revisionHeader]: revision, [configurationDigestHeader]: digest};
 		},
 		note(headers) {
-			const peer = peerOf(headers);
+			const peer = parsePeer(headers);
 			const comparison = configuration.compare(peer);
 			if (comparison === 'behind') {
-				void reach(peer.revision, 2 * watchGraceMs);
+				void catchUpTo(peer.revision, 2 * watchGraceMs);
 			} else if (comparison === 'diverged') {
 				configuration.resync();
 			}
 		},
 		async meet(headers, timeoutMs) {
-			const peer = peerOf(headers);
-			if (configuration.compare(peer) === 'behind' && !await reach(peer.revision, timeoutMs)) {
-				return 'the host is behind the configuration';
+			const peer = parsePeer(headers);
+			if (configuration.compare(peer) === 'behind' && !await catchUpTo(peer.revision, timeoutMs)) {
+				return 'the host has not received the configuration revision of the request';
 			}
 
 			if (configuration.compare(peer) === 'diverged') {
 				configuration.resync();
-				return 'the host and the entry hold different configurations under one revision';
+				return 'the host and the entry have different configurations with the same revision';
 			}
 
 			return null;
--- a/packages/daemon/src/host/watch-place.ts
+++ b/packages/daemon/src/host/watch-place.ts
@@ -1,81 +1,82 @@
 import {rendezvousOrder} from '@bitternpaddle/coordination';
 import type {HostReport} from '@bitternpaddle/protocol';
 
-/** Where one watch call goes, and what has to be in it. */
+/** The target and contents of one watch call. */
 export type WatchCall = {
 	readonly address: string;
-	/** Grows whenever the host turns to another control host. */
+	/** Increases whenever the host switches to another control host. */
 	readonly session: number;
-	/** `false`: on a fresh connection. */
+	/** `false` to use a new connection. */
 	readonly agent: false | undefined;
-	/** The control host has this report already. */
-	readonly isTold: boolean;
-	/** Notes whether the control host knows the report now. */
-	tell(isKnown: boolean): void;
+	/** Whether the control host already has this report. */
+	readonly isReportKnown: boolean;
+	/** Records whether the control host has the report after the call. */
+	recordReportKnown(isKnown: boolean): void;
 };
 
-export type WatchPlace = {
+export type ControlSelector = {
+	/** The call that delivers `report` now. */
 	at(report: HostReport): WatchCall;
-	/** The last call failed: turn to the next control host. */
-	leave(): void;
-	/** All control hosts, the present one first. */
-	all(): string[];
+	/** Switches to the next control host after a failed call. */
+	failOver(): void;
+	/** All control hosts, the current one first. */
+	addresses(): string[];
 };
 
-/** After this long at another control host the first choice is tried again, or a restarted one would never get its hosts back. */
-const returnMs = 60_000;
+/** After this long at another control host, the preferred one is tried again; otherwise a restarted one would never get its hosts back. */
+const preferredRetryMs = 60_000;
 
 /**
- * Chooses the control host at which a host watches. Each host has its own
- * order, so that hosts spread over all of them, and those of a lost one
- * spread over the rest.
+ * Selects the control host that a host watches. Each host has its own order of
+ * preference, so that hosts are distributed over all control hosts, and those
+ * of a failed one are distributed over the remaining ones.
  */
-export const createWatchPlace = (controls: readonly string[], hostId: () => string): WatchPlace => {
+export const createControlSelector = (controls: readonly string[], hostId: () => string): ControlSelector => {
 	let position = 0;
-	let leftAtMs = 0;
+	let switchedAtMs = 0;
 	let session = Date.now();
-	let told: string | null = null;
+	let knownReport: string | null = null;
 	let hasFailed = false;
 
-	const all = (): string[] => {
+	const addresses = (): string[] => {
 		const order = rendezvousOrder(hostId(), controls);
 		const start = position % Math.max(1, order.length);
 		return [...order.slice(start), ...order.slice(0, start)];
 	};
 
-	const turn = (to: number): void => {
+	const switchTo = (to: number): void => {
 		position = to;
-		leftAtMs = performance.now();
-		// The clock may have been set back; the session may not go back with it.
+		switchedAtMs = performance.now();
+		// The session must increase even if the clock was set back.
 		session = Math.max(session + 1, Date.now());
-		told = null;
+		knownReport = null;
 	};
 
 	return {
-		all,
+		addresses,
 		at(report) {
-			if (position !== 0 && performance.now() - leftAtMs > returnMs) {
-				turn(0);
+			if (position !== 0 && performance.now() - switchedAtMs > preferredRetryMs) {
+				switchTo(0);
 			}
 
 			const {revision, ...content} = report;
 			const text = JSON.stringify(content);
-			const calledIn = session;
+			const callSession = session;
 			return {
-				address: all()[0]!, session, isTold: told === text,
-				// After a failure an idle connection of the pool may be as silent as the one that failed.
+				address: addresses()[0]!, session, isReportKnown: knownReport === text,
+				// After a failure, an idle connection of the pool may be as dead as the one that failed.
 				agent: hasFailed ? false : undefined,
-				tell(isKnown) {
+				recordReportKnown(isKnown) {
 					hasFailed = false;
-					if (calledIn === session) {
-						told = isKnown ? text : null;
+					if (callSession === session) {
+						knownReport = isKnown ? text : null;
 					}
 				},
 			};
 		},
-		leave() {
+		failOver() {
 			hasFailed = true;
-			turn(position + 1);
+			switchTo(position + 1);
 		},
 	};
 };
