--- a/packages/daemon/src/commands/demo-command.ts
+++ b/packages/daemon/src/commands/demo-command.ts
@@ -1,12 +1,12 @@
 import {Command, Option} from 'clipanion';
 
-/** `bitternpaddled demo`: a whole session against the embedded system, checked. */
+/** `bitternpaddled demo`: runs a complete session on the embedded system and checks its outcomes. */
 export class DemoCommand extends Command {
 	static override paths = [['demo']];
 
-	static override usage = Command.Usage({description: 'Run a whole session on the embedded system; exits 0 only if every outcome was right.'});
+	static override usage = Command.Usage({description: 'Run a complete session on the embedded system; exits with 0 only if every outcome was as expected.'});
 
-	record = Option.String('--record', {description: 'File for the trace of one control host\'s decisions.'});
+	record = Option.String('--record', {description: 'File to which the decisions of one control host are recorded.'});
 
 	override async execute(): Promise<number> {
 		const {runDemo} = await import('../dev/run-demo.js');
@@ -16,7 +16,7 @@
 			},
 			recordFile: this.record,
 		});
-		this.context.stdout.write(failures.length === 0 ? 'Every outcome was right.\n' : `Wrong: ${failures.join('; ')}\n`);
+		this.context.stdout.write(failures.length === 0 ? 'Every outcome was as expected.\n' : `Unexpected outcomes: ${failures.join('; ')}\n`);
 		return failures.length === 0 ? 0 : 1;
 	}
 }
--- a/packages/daemon/src/commands/dev-command.ts
+++ b/packages/daemon/src/commands/dev-command.ts
@@ -1,12 +1,12 @@
 import process from 'node:process';
 import {Command, Option} from 'clipanion';
 
-/** `bitternpaddled dev`: the embedded default that a newcomer starts first. */
+/** `bitternpaddled dev`: runs the embedded system, for first steps and development. */
 export class DevCommand extends Command {
 	static override paths = [['dev']];
 
 	static override usage = Command.Usage({
-		description: 'Run the whole system in this process, with fake engines and a fake origin.',
+		description: 'Run the complete system in this process, with fake engines and a fake origin.',
 		examples: [['Keep it running', '$0 dev']],
 	});
 
@@ -22,7 +22,7 @@
 		const [entry] = cluster.entries;
 		const program = 'node packages/cli/bin/bitternpaddle.js';
 		const flags = `--address ${entry!.address} --token ${cluster.adminToken}`;
-		print(`The entry listens on ${entry!.address}. In another terminal, type for example:`);
+		print(`The entry listens on ${entry!.address}. In another terminal, run for example:`);
 		print('');
 		print(`  ${program} query ${flags} "show hosts"`);
 		print(`  ${program} run ${flags} "create team marshals key marshals-key"`);
@@ -33,8 +33,8 @@
 		print(`  ${program} query ${flags} "show replicas"`);
 		print(`  curl -N http://${entry!.address}/v1/chat/completions -H "Authorization: Bearer marshals-key" -H "Content-Type: application/json" -d '{"model":"pitch-desk","stream":true,"messages":[{"role":"user","content":"hello"}]}'`);
 		print('');
-		print(`A second version lies at the origin: ${cluster.manifestIds[1]}`);
-		print('Ctrl-C stops it.');
+		print(`The origin has a second version: ${cluster.manifestIds[1]}`);
+		print('Press Ctrl-C to stop.');
 		await new Promise<void>(resolve => {
 			for (const signal of ['SIGTERM', 'SIGINT'] as const) {
 				process.once(signal, () => {
--- a/packages/daemon/src/commands/fake-command.ts
+++ b/packages/daemon/src/commands/fake-command.ts
@@ -2,12 +2,12 @@
 import {readFile} from 'node:fs/promises';
 import {Command, Option} from 'clipanion';
 
-/** `bitternpaddled fake KIND`: one stand-in as a process of its own, for trying things out. */
+/** `bitternpaddled fake KIND`: runs one fake in a process of its own, for experiments. */
 export class FakeCommand extends Command {
 	static override paths = [['fake']];
 
 	static override usage = Command.Usage({
-		description: 'Run a stand-in: engine, service, or origin with the given weight files.',
+		description: 'Run a fake engine, a fake service, or a fake origin with the given weight files.',
 		examples: [['An origin with one version', '$0 fake origin --listen 127.0.0.1:7300 weights.bin']],
 	});
 
--- a/packages/daemon/src/commands/run-command.ts
+++ b/packages/daemon/src/commands/run-command.ts
@@ -8,9 +8,9 @@
 import {limitsOf, serverLimitsOf} from '../settings/limits.js';
 import {letYoungGenerationGrow} from '../young-generation.js';
 
-/** Exit code for settings that are wrong. */
+/** Exit code for invalid settings. */
 export const usageExitCode = 2;
-/** Exit code for a host that cannot start or go on. */
+/** Exit code for a host that cannot start or continue. */
 const failureExitCode = 1;
 
 const flag = (key: SettingKey) => {
@@ -21,13 +21,13 @@
 
 type Stoppable = {stop(): Promise<void>};
 
-/** `bitternpaddled run`: one host of the system. */
+/** `bitternpaddled run`: runs one host of the system. */
 export class RunCommand extends Command {
 	static override paths = [['run'], Command.Default];
 
 	static override usage = Command.Usage({
 		description: 'Run one host with one or more roles.',
-		details: 'Settings come from flags, then from environment variables, then from defaults. SIGTERM and SIGINT stop gracefully: no new work, what runs is finished.',
+		details: 'Settings are read from flags, then environment variables, then defaults. SIGTERM and SIGINT stop the host gracefully: it refuses new requests and finishes the running ones.',
 		examples: [
 			['A control host', '$0 run --roles control --host-id c1 --listen 127.0.0.1:7001 --controls c1=127.0.0.1:7001,c2=127.0.0.1:7002,c3=127.0.0.1:7003 --data-folder ./data/c1'],
 			['An entry', '$0 run --roles entry --host-id e1 --listen 127.0.0.1:7101 --controls c1=127.0.0.1:7001 --admin-tokens administer:change-me-now'],
@@ -80,7 +80,7 @@
 	}
 }
 
-/** Runs until a signal or an operator stops the host; resolves with the exit code. */
+/** Runs the host until a signal or an operator stops it; resolves with the exit code. */
 const runHost = async (settings: Settings): Promise<number> => {
 	const logger = createLogger({level: settings.logLevel, labels: {host: settings.hostId}});
 	const nodes: Stoppable[] = [];
@@ -121,11 +121,11 @@
 	readonly settings: Settings;
 	readonly nodes: Stoppable[];
 	readonly logger: Logger;
-	/** A role cannot go on. */
+	/** Called when a role cannot continue. */
 	onFailed(): void;
 };
 
-/** A role's code is loaded only where the role is taken: an agent holds no entry. */
+/** Loads only the code of the configured roles, so that an agent does not spend memory on the entry. */
 const startRoles = async ({settings, nodes, logger, onFailed}: StartRolesOptions): Promise<void> => {
 	const {roles, hostId, controls, dataFolder} = settings;
 	const voters = settings.voters ?? controls.map(control => control.id);
--- a/packages/daemon/src/recording/recorder.ts
+++ b/packages/daemon/src/recording/recorder.ts
@@ -4,14 +4,14 @@
 } from '@bitternpaddle/coordination';
 import {canonicalJson, digestOf} from '@bitternpaddle/state';
 
-/** How a decision maker stood when its recording began. */
+/** The initial state of the recorded state machine. */
 export type RecordingHeader = {
 	readonly machine: 'consensus';
 	readonly seed: number;
 	readonly options: Omit<ConsensusOptions, 'random'>;
 };
 
-/** One step: the event, the clock and a digest of the effects. */
+/** One step: the event, the time and a digest of the effects. */
 export type RecordedStep = {readonly nowMs: number; readonly event: ConsensusEvent; readonly effectsDigest: string};
 
 export type Recorder = {
@@ -20,7 +20,7 @@
 	close(): Promise<void>;
 };
 
-/** Writes one JSON line for the start and one for each step. */
+/** Writes one JSON line for the header and one for each step. */
 export const createRecorder = (filePath: string): Recorder => {
 	const output = createWriteStream(filePath);
 	return {
@@ -40,12 +40,12 @@
 	= | {readonly type: 'same'; readonly steps: number; readonly term: number; readonly commitIndex: number}
 		| {readonly type: 'different'; readonly line: number; readonly event: ConsensusEvent; readonly effects: unknown};
 
-/** Repeats a recording and tells the first step whose decisions differ. */
+/** Replays a recording and returns the first step whose effects differ. */
 export const replayRecording = (text: string): ReplayResult => {
 	const lines = text.split('\n').filter(line => line !== '');
 	const header = JSON.parse(lines[0] ?? 'null') as RecordingHeader | null;
 	if (header?.machine !== 'consensus') {
-		throw new Error('not a recording: the first line names no known machine');
+		throw new Error('the file is not a recording: its first line names no known state machine');
 	}
 
 	const state: ConsensusState = createConsensus({...header.options, random: createRandom(header.seed)});
--- a/packages/daemon/src/settings/limits.ts
+++ b/packages/daemon/src/settings/limits.ts
@@ -2,12 +2,12 @@
 import type {ServerLimits} from '@bitternpaddle/transport';
 import type {Settings} from './settings.js';
 
-/** The limits and bounds of an entry, as its settings say. */
+/** The admission limits of an entry, from its settings. */
 export const limitsOf = ({limitTokens, limitBurstSeconds, maxQueuedPerTeam, maxQueuedPerService}: Settings): AdmissionOptions => ({
 	fleetTokensPerSecond: limitTokens ?? null, burstSeconds: limitBurstSeconds, maxQueuedPerTeam, maxQueuedPerTarget: maxQueuedPerService,
 });
 
-/** What each role's server holds for its callers at most. */
+/** The limits of the HTTP server of each role, from the settings. */
 export const serverLimitsOf = ({maxConnections, maxBufferedBytes, headTimeoutMs, requestTimeoutMs, unreadTimeoutMs}: Settings): ServerLimits => ({
 	maxConnections, maxBufferedBytes, headersTimeoutMs: headTimeoutMs, requestTimeoutMs, unreadTimeoutMs,
 });
--- a/packages/daemon/src/settings/settings.ts
+++ b/packages/daemon/src/settings/settings.ts
@@ -8,7 +8,7 @@
 export type SettingDefinition = {
 	readonly name: string;
 	readonly description: string;
-	/** What a value looks like, as the help and errors say it. */
+	/** Description of a valid value for the help and error messages. */
 	readonly expected: string;
 	readonly defaultText: string | null;
 	readonly schema: z.ZodType;
@@ -37,62 +37,62 @@
 });
 
 export const settingDefinitions = {
-	roles: define('roles', listSchema(z.enum(['entry', 'control', 'agent'])), 'What this process does.', 'a list of entry, control, agent', null),
-	hostId: define('host-id', hostIdSchema, 'Name of this host, unique among all.', 'a name', null),
-	listen: define('listen', addressSchema, 'Address of the first role; further roles take free ports on the same IP number.', 'ip:port', '127.0.0.1:0'),
-	controls: define('controls', listSchema(memberSchema), 'All control hosts.', 'a list of id=ip:port', null),
-	voters: define('voters', listSchema(hostIdSchema), 'The control hosts that vote at the first start; the others stand by.', 'a list of ids from --controls', ''),
+	roles: define('roles', listSchema(z.enum(['entry', 'control', 'agent'])), 'Roles that this process runs.', 'a list of entry, control, agent', null),
+	hostId: define('host-id', hostIdSchema, 'Name of this host, unique in the system.', 'a name', null),
+	listen: define('listen', addressSchema, 'Address on which the first role listens; further roles use free ports of the same IP address.', 'ip:port', '127.0.0.1:0'),
+	controls: define('controls', listSchema(memberSchema), 'Ids and addresses of all control hosts.', 'a list of id=ip:port', null),
+	voters: define('voters', listSchema(hostIdSchema), 'Ids of the control hosts that vote after the first start; the others are standbys.', 'a list of ids from --controls', ''),
 	replaceVoterAfterMs: define(
 		'replace-voter-after-ms',
 		numberSchema(1000, 3_600_000),
-		'A voter that is silent for this long is replaced by a control host that stands by (control).',
+		'A voter that does not respond for this long is replaced by a standby control host (control).',
 		'milliseconds, longer than a restart takes',
 		'15000',
 	),
-	dataFolder: define('data-folder', z.string().min(1), 'Folder for what must survive (control) or may be kept (agent).', 'a path', './data'),
+	dataFolder: define('data-folder', z.string().min(1), 'Folder for data that must be preserved (control) or may be reused (agent).', 'a path', './data'),
 	zone: define('zone', zoneIdSchema, 'Availability zone of this host.', 'a name', 'zone-1'),
 	region: define('region', regionIdSchema, 'Region of this host.', 'a name', 'region-1'),
 	service: define('service', serviceIdSchema, 'Service that the endpoint belongs to (agent).', 'a name', 'default'),
 	provider: define('provider', z.string().regex(/^[\w.\-]{1,64}$/v), 'Provider of this host (agent).', 'a name', 'default'),
-	endpoint: define('endpoint', addressSchema, 'Where the endpoint listens (agent).', 'ip:port', ''),
-	endpointKind: define('endpoint-kind', z.enum(['engine', 'plain']), 'A model engine or a plain service (agent).', 'engine or plain', 'engine'),
-	origin: define('origin', addressSchema, 'The origin of weights (agent).', 'ip:port', ''),
-	store: define('store', addressSchema, 'The weight store, asked while the origin fails or refuses (agent).', 'ip:port', ''),
-	originCopies: define('origin-copies', numberSchema(1, 4), 'Copies of a version that may leave the origin: fewer save its bytes, more save time (agent).', 'a whole number from 1 to 4', '1'),
-	transferIn: define('transfer-in-bytes-per-second', numberSchema(1024, 1_000_000_000_000), 'What transfers may take of the link inwards (agent).', 'a whole number from 1024', ''),
-	transferOut: define('transfer-out-bytes-per-second', numberSchema(1024, 1_000_000_000_000), 'What transfers may take of the link outwards (agent).', 'a whole number from 1024', ''),
-	capacity: define('capacity', numberSchema(1, 100_000), 'Requests that the endpoint runs side by side (agent).', 'a whole number from 1 to 100000', '16'),
-	adminTokens: define('admin-tokens', listSchema(tokenSchema), 'Tokens of operators (entry).', 'a list of read|operate|administer:TOKEN, each TOKEN of 8 characters or more', ''),
+	endpoint: define('endpoint', addressSchema, 'Address on which the endpoint listens (agent).', 'ip:port', ''),
+	endpointKind: define('endpoint-kind', z.enum(['engine', 'plain']), 'Whether the endpoint is a model engine or a plain service (agent).', 'engine or plain', 'engine'),
+	origin: define('origin', addressSchema, 'Address of the origin of weights (agent).', 'ip:port', ''),
+	store: define('store', addressSchema, 'Address of the weight store, which is used while the origin fails or refuses requests (agent).', 'ip:port', ''),
+	originCopies: define('origin-copies', numberSchema(1, 4), 'Copies of a version to fetch from the origin: fewer save its bandwidth, more save time (agent).', 'a whole number from 1 to 4', '1'),
+	transferIn: define('transfer-in-bytes-per-second', numberSchema(1024, 1_000_000_000_000), 'Bandwidth limit of incoming transfers (agent); none if omitted.', 'a whole number from 1024', ''),
+	transferOut: define('transfer-out-bytes-per-second', numberSchema(1024, 1_000_000_000_000), 'Bandwidth limit of outgoing transfers (agent); none if omitted.', 'a whole number from 1024', ''),
+	capacity: define('capacity', numberSchema(1, 100_000), 'Maximum number of requests that the endpoint runs concurrently (agent).', 'a whole number from 1 to 100000', '16'),
+	adminTokens: define('admin-tokens', listSchema(tokenSchema), 'Roles and tokens of operators (entry).', 'a list of read|operate|administer:TOKEN, each TOKEN of 8 characters or more', ''),
 	limitTokens: define(
 		'limit-tokens-per-second',
 		numberSchema(1, 1_000_000_000),
-		'Tokens a second over all teams and entries, split by the teams\' shares (entry); none if left out.',
+		'Tokens per second over all teams and entries, divided by the shares of the teams (entry); unlimited if omitted.',
 		'a whole number from 1 to 1000000000',
 		'',
 	),
-	limitBurstSeconds: define('limit-burst-seconds', numberSchema(1, 3600), 'Seconds of its share of the limit that a team can save up (entry).', 'a whole number from 1 to 3600', '10'),
-	maxQueuedPerTeam: define('max-queued-per-team', numberSchema(1, 1_000_000), 'Requests of one team that wait for one model or service (entry).', 'a whole number from 1 to 1000000', '512'),
-	maxQueuedPerService: define('max-queued-per-service', numberSchema(1, 1_000_000), 'Requests that wait for one model or service (entry).', 'a whole number from 1 to 1000000', '2048'),
-	maxConnections: define('max-connections', numberSchema(16, 1_000_000), 'Connections that others hold open to each role of this process.', 'a whole number from 16 to 1000000', '8192'),
+	limitBurstSeconds: define('limit-burst-seconds', numberSchema(1, 3600), 'Burst size: seconds of its share of the limit that a team can accumulate (entry).', 'a whole number from 1 to 3600', '10'),
+	maxQueuedPerTeam: define('max-queued-per-team', numberSchema(1, 1_000_000), 'Maximum queued requests of one team for one model or service (entry).', 'a whole number from 1 to 1000000', '512'),
+	maxQueuedPerService: define('max-queued-per-service', numberSchema(1, 1_000_000), 'Maximum queued requests for one model or service (entry).', 'a whole number from 1 to 1000000', '2048'),
+	maxConnections: define('max-connections', numberSchema(16, 1_000_000), 'Maximum number of incoming connections to each role of this process.', 'a whole number from 16 to 1000000', '8192'),
 	maxBufferedBytes: define(
 		'max-buffered-bytes',
 		numberSchema(1_048_576, 1_000_000_000_000),
-		'Bytes of request bodies that each role of this process holds; with the role agent at least 8388608, with the role control at least 67108864.',
+		'Maximum bytes of request bodies that each role of this process buffers; at least 8388608 with the role agent, at least 67108864 with the role control.',
 		'a whole number from 1048576',
 		'134217728',
 	),
-	headTimeoutMs: define('head-timeout-ms', numberSchema(100, 600_000), 'How long a sender may take over the head of a request.', 'milliseconds from 100 to 600000', '10000'),
+	headTimeoutMs: define('head-timeout-ms', numberSchema(100, 600_000), 'Maximum time to receive the head of a request.', 'milliseconds from 100 to 600000', '10000'),
 	requestTimeoutMs: define(
 		'request-timeout-ms',
 		numberSchema(100, 600_000),
-		'How long a sender may take over a whole request, at least --head-timeout-ms.',
+		'Maximum time to receive a complete request, at least --head-timeout-ms.',
 		'milliseconds from 100 to 600000',
 		'60000',
 	),
-	unreadTimeoutMs: define('unread-timeout-ms', numberSchema(1000, 3_600_000), 'How long a caller may leave its answer unread.', 'milliseconds from 1000 to 3600000', '60000'),
-	statsd: define('statsd', addressSchema, 'Where metrics go.', 'ip:port', ''),
-	logLevel: define('log-level', z.enum(['error', 'warn', 'info', 'debug', 'silent']), 'Least severity of logged events.', 'error, warn, info, debug or silent', 'info'),
-	record: define('record', z.string().min(1), 'File for the trace of decisions, for `bitternpaddle replay` (control).', 'a path', ''),
+	unreadTimeoutMs: define('unread-timeout-ms', numberSchema(1000, 3_600_000), 'Maximum time that a caller may leave its answer unread.', 'milliseconds from 1000 to 3600000', '60000'),
+	statsd: define('statsd', addressSchema, 'Address to which metrics are sent.', 'ip:port', ''),
+	logLevel: define('log-level', z.enum(['error', 'warn', 'info', 'debug', 'silent']), 'Minimum severity of logged events.', 'error, warn, info, debug or silent', 'info'),
+	record: define('record', z.string().min(1), 'File to which decisions are recorded, for `bitternpaddle replay` (control).', 'a path', ''),
 } as const;
 
 export type SettingKey = keyof typeof settingDefinitions;
@@ -109,14 +109,14 @@
 
 export const environmentName = (flag: string): string => `BITTERNPADDLE_${flag.toUpperCase().replaceAll('-', '_')}`;
 
-/** Reads flags first, then the environment, then defaults; names every wrong value at once. */
+/** Reads flags first, then environment variables, then defaults; reports all invalid values together. */
 export const resolveSettings = (flags: Partial<Record<SettingKey, string>>, environment: Record<string, string | undefined>): ResolveSettingsResult => {
 	const problems: string[] = [];
 	const settings: Record<string, unknown> = {};
 	for (const [key, definition] of Object.entries(settingDefinitions)) {
 		const text = flags[key as SettingKey] ?? environment[environmentName(definition.name)] ?? definition.defaultText;
 		if (text === null) {
-			problems.push(`--${definition.name} (${environmentName(definition.name)}) is needed: expected ${definition.expected}`);
+			problems.push(`--${definition.name} (${environmentName(definition.name)}) is required: expected ${definition.expected}`);
 		} else if (text !== '') {
 			const parsed = definition.schema.safeParse(text);
 			if (parsed.success) {
@@ -135,17 +135,17 @@
 	return problems.length === 0 ? {type: 'settings', settings: checked} : {type: 'problems', problems};
 };
 
-/** Values that are right alone but wrong together. */
+/** Finds values that are valid on their own but not in combination. */
 const contradictions = (settings: Settings): string[] => {
 	const {roles, endpoint, origin, endpointKind, controls, voters = [], hostId, maxQueuedPerTeam, maxQueuedPerService} = settings;
 	const problems: string[] = [];
 	const ids = new Set(controls.map(control => control.id));
 	if (roles.includes('agent') && endpoint === undefined) {
-		problems.push('--endpoint is needed with the role agent: expected ip:port');
+		problems.push('--endpoint is required with the role agent: expected ip:port');
 	}
 
 	if (roles.includes('agent') && endpointKind === 'engine' && origin === undefined) {
-		problems.push('--origin is needed with the role agent before an engine: expected ip:port');
+		problems.push('--origin is required with the role agent and --endpoint-kind engine: expected ip:port');
 	}
 
 	if (roles.includes('control') && !ids.has(hostId)) {
@@ -163,7 +163,7 @@
 	return [...problems, ...contradictingServerLimits(settings)];
 };
 
-/** The largest request that each role must be able to take. */
+/** The largest request that each role must be able to accept. */
 const largestRequestBytes: Record<Role, number> = {entry: 1_048_576, agent: 8_388_608, control: 67_108_864};
 
 const contradictingServerLimits = ({roles, maxBufferedBytes, headTimeoutMs, requestTimeoutMs}: Settings): string[] => {
