--- a/packages/daemon/src/report/burn-html.ts
+++ b/packages/daemon/src/report/burn-html.ts
@@ -8,12 +8,12 @@
 type ObjectiveName = 'answeredWhole' | 'firstToken';
 const objectiveNames: readonly ObjectiveName[] = ['answeredWhole', 'firstToken'];
 
-const fastRate = 6;
+const hotRate = 6;
 const lowBudgetPercent = 25;
 
 const rateCell = (rate: number): string => {
-	const heat = rate > fastRate ? 'hot' : (rate > 1 ? 'warm' : '');
-	return `<td class="${heat}">${formatRate(rate)}</td>`;
+	const heatClass = rate > hotRate ? 'hot' : (rate > 1 ? 'warm' : '');
+	return `<td class="${heatClass}">${formatRate(rate)}</td>`;
 };
 
 const budgetCell = ({budgetLeftPercent}: ObjectiveBurn): string => {
@@ -37,8 +37,8 @@
 	+ '<th>burn 5 m</th><th>1 h</th><th>6 h</th><th>3 d</th><th>bad in 3 d</th><th>budget left</th><th>alert</th></tr></thead><tbody>'
 	+ `${rows.flatMap(row => objectiveNames.map(name => tableRow(row, name, labelOf(row)))).join('\n')}</tbody></table>`;
 
-/** Every hour of the three days, with its point where something was counted. */
-const hoursOf = (row: BurnRow, nowMs: number): Array<{startMs: number; point: BurnPoint | undefined}> => {
+/** Every hour of the three days, with its point if any request was counted. */
+const hourlyPoints = (row: BurnRow, nowMs: number): Array<{startMs: number; point: BurnPoint | undefined}> => {
 	const points = new Map(row.points.map(point => [floorTo(point.startMs, hourMs), point]));
 	const oldestMs = oldestStartMs(nowMs, hourMs, keptHours);
 	return Array.from({length: keptHours}, (_, index) => {
@@ -47,20 +47,20 @@
 	});
 };
 
-/** Share of the budget that is left after each hour; ends at the report's figure. */
-const budgetOverTime = (row: BurnRow, hours: ReturnType<typeof hoursOf>, name: ObjectiveName): Array<number | null> => {
-	const {total, bad: allBad} = row[name].rates.at(-1)!;
+/** Percentage of the budget that remains after each hour; the last value equals the one in the report. */
+const budgetOverTime = (row: BurnRow, hours: ReturnType<typeof hourlyPoints>, name: ObjectiveName): Array<number | null> => {
+	const {total, bad: totalBad} = row[name].rates.at(-1)!;
 	const percent = name === 'answeredWhole' ? row.objective.answeredWholePercent : row.objective.firstTokenPercent;
-	const shown = hours.reduce((sum, {point}) => sum + badOf(point, name), 0);
-	// The oldest hour is cut by the window's edge; what lies outside the plot is spent at its start.
-	let spent = allBad - shown;
+	const shown = hours.reduce((sum, {point}) => sum + badCount(point, name), 0);
+	// The window starts within the oldest hour; bad requests outside the plot count as spent at its start.
+	let spent = totalBad - shown;
 	return hours.map(({point}) => {
-		spent += badOf(point, name);
+		spent += badCount(point, name);
 		return total === 0 ? null : 100 * (1 - burnRateOf(spent, total, percent));
 	});
 };
 
-const badOf = (point: BurnPoint | undefined, name: ObjectiveName): number => {
+const badCount = (point: BurnPoint | undefined, name: ObjectiveName): number => {
 	if (point === undefined) {
 		return 0;
 	}
@@ -71,19 +71,19 @@
 const formatMs = (value: number): string => value >= 1000 ? `${(value / 1000).toLocaleString('en', {maximumFractionDigits: 2})} s` : `${Math.round(value)} ms`;
 
 const plots = (row: BurnRow, nowMs: number): string => {
-	const hours = hoursOf(row, nowMs);
+	const hours = hourlyPoints(row, nowMs);
 	const shared = {startsMs: hours.map(({startMs}) => startMs), stepMs: hourMs};
 	return `<div class="plots">${[
 		drawPlot({
-			...shared, title: 'Burn rate by hour: answers not whole', formatValue: value => String(Math.round(value * 100) / 100), leastMaximum: 2,
-			bound: {value: 1, name: 'rate at which the budget lasts exactly 3 days'},
+			...shared, title: 'Burn rate by hour: incomplete answers', formatValue: value => String(Math.round(value * 100) / 100), minAxisMaximum: 2,
+			threshold: {value: 1, name: 'rate that spends the budget in exactly 3 days'},
 			series: [{
 				type: 'bars', name: 'burn rate', className: 'bar',
 				values: hours.map(({point}) => point === undefined ? null : burnRateOf(point.counts.notWhole, point.counts.total, row.objective.answeredWholePercent)),
 			}],
 		}),
 		drawPlot({
-			...shared, title: 'Budget left over three days', formatValue: value => `${Math.round(value)}%`, leastMaximum: 100, bound: null,
+			...shared, title: 'Remaining budget over three days', formatValue: value => `${Math.round(value)}%`, minAxisMaximum: 100, threshold: null,
 			series: [
 				{
 					type: 'line', name: objectiveText(row, 'answeredWhole'), className: 'first', values: budgetOverTime(row, hours, 'answeredWhole'),
@@ -94,8 +94,8 @@
 			],
 		}),
 		drawPlot({
-			...shared, title: 'Time to the first token', formatValue: formatMs, leastMaximum: row.objective.firstTokenMs * 1.2,
-			bound: {value: row.objective.firstTokenMs, name: `bound for ${row.objective.firstTokenPercent}%`},
+			...shared, title: 'Time to the first token', formatValue: formatMs, minAxisMaximum: row.objective.firstTokenMs * 1.2,
+			threshold: {value: row.objective.firstTokenMs, name: `objective for ${row.objective.firstTokenPercent}%`},
 			series: [
 				{
 					type: 'line', name: 'median', className: 'first', values: hours.map(({point}) => point?.firstTokenP50Ms ?? null),
@@ -112,7 +112,7 @@
 ${plots(row, nowMs)}
 ${table(rows.filter(({serviceId, teamId}) => serviceId === row.serviceId && teamId !== null), 'team', ({teamId}) => teamId!)}`;
 
-/** The report as one page that loads nothing from elsewhere. */
+/** Renders the report as a self-contained HTML page that loads no external resources. */
 export const renderBurnHtml = ({nowMs, heardEntries, missingEntries, rows}: BurnReport): string => {
 	const services = rows.filter(({teamId}) => teamId === null);
 	const missing = missingEntries.length === 0 ? '' : `<p class="missing">Not heard, so not counted: ${escapeHtml(missingEntries.join(', '))}</p>`;
--- a/packages/daemon/src/report/burn-page-style.ts
+++ b/packages/daemon/src/report/burn-page-style.ts
@@ -1,4 +1,4 @@
-/** Style sheet of the burn page; it holds no address, so that the page loads nothing. */
+/** Style sheet of the burn page. It contains no URLs, so that the page loads no external resources. */
 export const burnPageStyle = `
 :root{color-scheme:light dark;--text:#1c2430;--dim:#5d6876;--line:#d9dee5;--back:#fff;--panel:#f6f8fa;
 --good:#2f7d4f;--warn:#a86400;--bad:#b3261e;--first:#3b6fb6;--second:#8a5fb0;--bar:#8fb0d9}
--- a/packages/daemon/src/report/burn-text.ts
+++ b/packages/daemon/src/report/burn-text.ts
@@ -1,6 +1,6 @@
 import type {BurnReport, BurnRow, ObjectiveBurn} from '@bitternpaddle/coordination';
 
-/** Rates as people read them: two decimals while they are small. */
+/** Formats a rate for display: two decimals below 100, none from there on. */
 export const formatRate = (rate: number): string => rate >= 100 ? String(Math.round(rate)) : rate.toFixed(2);
 
 export const formatPercent = (percent: number): string => `${percent.toFixed(Math.abs(percent) >= 100 ? 0 : 1)}%`;
@@ -25,7 +25,7 @@
 	];
 };
 
-/** The report as a table; a rate of 1 spends the three days' budget in exactly three days. */
+/** Renders the report as a text table; a rate of 1 spends the three-day budget in exactly three days. */
 export const renderBurnText = ({nowMs, heardEntries, missingEntries, rows}: BurnReport): string => {
 	const lines = [columns, ...rows.flatMap(row => [cellsOf(row, 'answeredWhole'), cellsOf(row, 'firstToken')])];
 	const widths = columns.map((_, index) => Math.max(...lines.map(line => line[index]!.length)));
--- a/packages/daemon/src/report/svg-plot.ts
+++ b/packages/daemon/src/report/svg-plot.ts
@@ -5,16 +5,16 @@
 
 export type PlotOptions = {
 	readonly title: string;
-	/** What the values are, as the axis and tooltips say it. */
+	/** Formats a value for the axis and the tooltips. */
 	readonly formatValue: (value: number) => string;
-	/** Left edge of each value's slot; all slots are equally long. */
+	/** Start of the time slot of each value; all slots have the same length. */
 	readonly startsMs: readonly number[];
 	readonly stepMs: number;
 	readonly series: readonly PlotSeries[];
-	/** A bound to draw across, such as the objective. */
-	readonly bound: {readonly value: number; readonly name: string} | null;
-	/** The axis reaches at least this far. */
-	readonly leastMaximum: number;
+	/** Threshold to draw as a horizontal line, such as the objective. */
+	readonly threshold: {readonly value: number; readonly name: string} | null;
+	/** The maximum of the value axis is at least this value. */
+	readonly minAxisMaximum: number;
 };
 
 const width = 420;
@@ -33,10 +33,10 @@
 
 type Attributes = Readonly<Record<string, string | number>>;
 
-/** One SVG element; numbers are written with one decimal. */
+/** Renders one SVG element; numbers are formatted with one decimal. */
 const element = (name: string, attributes: Attributes, content = ''): string => {
-	const written = Object.entries(attributes).map(([key, value]) => ` ${key}="${typeof value === 'number' ? value.toFixed(1) : escapeHtml(value)}"`);
-	return `<${name}${written.join('')}>${content}</${name}>`;
+	const formattedAttributes = Object.entries(attributes).map(([key, value]) => ` ${key}="${typeof value === 'number' ? value.toFixed(1) : escapeHtml(value)}"`);
+	return `<${name}${formattedAttributes.join('')}>${content}</${name}>`;
 };
 
 const horizontal = (className: string, y: number): string => element('line', {
@@ -45,16 +45,16 @@
 
 /** A round step (1, 2 or 5 times a power of ten) that gives about four ticks. */
 const tickStep = (span: number): number => {
-	const rough = span / 4;
-	const power = 10 ** Math.floor(Math.log10(rough));
-	const factor = [1, 2, 5, 10].find(candidate => candidate * power >= rough) ?? 10;
+	const idealStep = span / 4;
+	const power = 10 ** Math.floor(Math.log10(idealStep));
+	const factor = [1, 2, 5, 10].find(candidate => candidate * power >= idealStep) ?? 10;
 	return factor * power;
 };
 
 type Scale = {readonly minimum: number; readonly maximum: number; readonly step: number; toY(value: number): number};
 
-const createScale = ({series, bound, leastMaximum}: PlotOptions): Scale => {
-	const values = [...series.flatMap(({values}) => values.filter(value => value !== null)), bound?.value ?? 0, leastMaximum];
+const createScale = ({series, threshold, minAxisMaximum}: PlotOptions): Scale => {
+	const values = [...series.flatMap(({values}) => values.filter(value => value !== null)), threshold?.value ?? 0, minAxisMaximum];
 	const lowest = Math.min(0, ...values);
 	const step = tickStep(Math.max(...values) - lowest);
 	const minimum = Math.floor(lowest / step) * step;
@@ -84,7 +84,7 @@
 const halfDayMs = 12 * 3_600_000;
 const dayMs = 2 * halfDayMs;
 
-/** A tick at every noon and midnight (UTC); midnight carries the day. */
+/** Renders a tick at every noon and midnight (UTC); the label of midnight is the date. */
 const timeAxis = (options: PlotOptions): string => options.startsMs
 	.map((startMs, slot) => {
 		if (startMs % halfDayMs !== 0) {
@@ -119,9 +119,9 @@
 			}
 
 			const y = Math.min(scale.toY(value), scale.toY(0) - (value > 0 ? 1 : 0));
-			const isOver = options.bound !== null && value > options.bound.value;
+			const exceedsThreshold = options.threshold !== null && value > options.threshold.value;
 			return element('rect', {
-				class: `${series.className}${isOver ? ' over' : ''}`, x: xOf(options, slot), y, width: barWidth, height: scale.toY(0) - y,
+				class: `${series.className}${exceedsThreshold ? ' over' : ''}`, x: xOf(options, slot), y, width: barWidth, height: scale.toY(0) - y,
 			}, tooltip(options, series, slot, value));
 		})
 		.join('');
@@ -130,17 +130,17 @@
 const drawLine = (options: PlotOptions, scale: Scale, series: PlotSeries): string => {
 	const parts: string[] = [];
 	const dots: string[] = [];
-	let isDown = false;
+	let isPenDown = false;
 	for (const [slot, value] of series.values.entries()) {
 		if (value === null) {
-			isDown = false;
+			isPenDown = false;
 			continue;
 		}
 
 		const x = xOf(options, slot + 0.5);
 		const y = scale.toY(value);
-		parts.push(`${isDown ? 'L' : 'M'}${x.toFixed(1)} ${y.toFixed(1)}`);
-		isDown = true;
+		parts.push(`${isPenDown ? 'L' : 'M'}${x.toFixed(1)} ${y.toFixed(1)}`);
+		isPenDown = true;
 		dots.push(element('circle', {
 			class: series.className, cx: x, cy: y, r: 1.6,
 		}, tooltip(options, series, slot, value)));
@@ -151,21 +151,21 @@
 
 const legendEntry = (className: string, name: string): string => `<span class="${className}"></span>${escapeHtml(name)}`;
 
-/** Names stand under the plot, where no bar or line runs through them. */
-const legend = ({series, bound}: PlotOptions): string => {
+/** Renders the names below the plot, where no bar or line crosses them. */
+const legend = ({series, threshold}: PlotOptions): string => {
 	const entries = [
 		...(series.length < 2 ? [] : series.map(({name, className}) => legendEntry(className, name))),
-		...(bound === null ? [] : [legendEntry('bound', bound.name)]),
+		...(threshold === null ? [] : [legendEntry('bound', threshold.name)]),
 	];
 	return `<p class="legend">${entries.join(' ')}</p>`;
 };
 
-/** One plot as a figure with an SVG in it; colours come from the page's style sheet. */
+/** Renders one plot as a figure with an SVG; its colours are defined in the style sheet of the page. */
 export const drawPlot = (options: PlotOptions): string => {
 	const scale = createScale(options);
-	const drawn = options.series.map(series => series.type === 'bars' ? drawBars(options, scale, series) : drawLine(options, scale, series)).join('');
-	const bound = options.bound === null ? '' : horizontal('bound', scale.toY(options.bound.value));
-	const content = [valueAxis(scale, options.formatValue), timeAxis(options), drawn, bound].join('');
+	const seriesContent = options.series.map(series => series.type === 'bars' ? drawBars(options, scale, series) : drawLine(options, scale, series)).join('');
+	const thresholdLine = options.threshold === null ? '' : horizontal('bound', scale.toY(options.threshold.value));
+	const content = [valueAxis(scale, options.formatValue), timeAxis(options), seriesContent, thresholdLine].join('');
 	const svg = element('svg', {viewBox: `0 0 ${width} ${height}`, role: 'img', 'aria-label': options.title}, content);
 	return `<figure><figcaption>${escapeHtml(options.title)}</figcaption>\n${svg}\n${legend(options)}</figure>`;
 };
--- a/packages/daemon/test/burn-page.test.ts
+++ b/packages/daemon/test/burn-page.test.ts
@@ -7,7 +7,7 @@
 const nowMs = Date.UTC(2026, 5, 4, 11, 59, 30);
 const hourMs = 3_600_000;
 
-/** 100 requests in each of the last ten hours, 2 of them bad in the last; the caller's team name is markup. */
+/** 100 requests in each of the last ten hours, 2 of them bad in the last one; the team name contains markup. */
 const sampleReport = (): BurnReport => {
 	const counter = createBurnCounter();
 	for (let hour = 9; hour >= 0; hour--) {
@@ -30,7 +30,7 @@
 	}));
 });
 
-t.test('the page stands alone and shows what the report says', async t => {
+t.test('the page is self-contained and shows the data of the report', async t => {
 	const page = renderBurnHtml(sampleReport());
 	t.notMatch(page, /https?:|src=|url\(|@import|<script|<link/v, 'it loads nothing');
 	t.equal(page.match(/<svg /gv)?.length, 3, 'three plots for the one service');
