--- a/packages/daemon/src/dev/client.ts
+++ b/packages/daemon/src/dev/client.ts
@@ -9,7 +9,7 @@
 	readonly idleTimeoutMs?: number;
 };
 
-/** Sends JSON as a caller or operator would. */
+/** Sends a JSON request as a caller or an operator. */
 export const postJson = async (options: ClientOptions & {readonly path: string; readonly body: unknown; readonly headers?: Record<string, string>}): Promise<ClientAnswer> => {
 	const {address, token, path, body, headers = {}, idleTimeoutMs = 30_000} = options;
 	const response = await sendHttp({
@@ -19,7 +19,7 @@
 	return {status: response.statusCode!, headers: response.headers, text: (await readBody(response)).toString()};
 };
 
-/** Gets JSON as an operator would. */
+/** Fetches JSON as an operator. */
 export const fetchJson = async ({address, token, path, idleTimeoutMs = 30_000}: ClientOptions & {readonly path: string}): Promise<ClientAnswer> => {
 	const response = await sendHttp({
 		address, path, idleTimeoutMs, agent: false, headers: {authorization: `Bearer ${token}`},
@@ -39,22 +39,22 @@
 	};
 };
 
-/** Sends one line of the operators' language. */
+/** Sends one line of the operators' command language. */
 export const sendLine = async (options: ClientOptions & {readonly line: string; readonly commandId?: string; readonly ifRevision?: number}): Promise<CommandAnswer> => {
 	const {line, commandId, ifRevision, ...client} = options;
 	const {status, text} = await postJson({...client, path: '/admin/v1/commands', body: {line, commandId, ifRevision}});
 	return {status, body: JSON.parse(text) as CommandAnswer['body']};
 };
 
-export type Until = {
+export type WaitOptions = {
 	/** @default 30000 */
 	readonly timeoutMs?: number;
 };
 
-/** Asks again until `check` is true; throws with `what` when it never is. */
-export const waitUntil = async (what: string, check: () => Promise<boolean> | boolean, {timeoutMs = 30_000}: Until = {}): Promise<void> => {
-	const endAtMs = performance.now() + timeoutMs;
-	while (performance.now() < endAtMs) {
+/** Polls `check` until it returns `true`; on a timeout, throws an error that names the condition. */
+export const waitUntil = async (condition: string, check: () => Promise<boolean> | boolean, {timeoutMs = 30_000}: WaitOptions = {}): Promise<void> => {
+	const deadlineAtMs = performance.now() + timeoutMs;
+	while (performance.now() < deadlineAtMs) {
 		if (await check()) {
 			return;
 		}
@@ -64,5 +64,5 @@
 		});
 	}
 
-	throw new Error(`${what} did not come about within ${timeoutMs} ms`);
+	throw new Error(`condition "${condition}" was not met within ${timeoutMs} ms`);
 };
--- a/packages/daemon/src/dev/create-dev-cluster.ts
+++ b/packages/daemon/src/dev/create-dev-cluster.ts
@@ -11,10 +11,10 @@
 import type {AdminToken} from '../entry/admin-tokens.js';
 import {createEntryNode, type EntryNode} from '../entry/create-entry-node.js';
 
-/** A hall of the users' deployments and the region that it lies in. */
-export type Hall = {readonly zoneId: string; readonly regionId: string};
+/** An availability zone of a user deployment and its region. */
+export type ZoneLocation = {readonly zoneId: string; readonly regionId: string};
 
-export const cascadiaHalls: readonly Hall[] = [
+export const cascadiaHalls: readonly ZoneLocation[] = [
 	{zoneId: 'tacoma-hall', regionId: 'puget'},
 	{zoneId: 'salem-hall', regionId: 'willamette'},
 	{zoneId: 'spokane-hall', regionId: 'inland'},
@@ -34,11 +34,11 @@
 	/** First entry's address. @default '127.0.0.1:0' */
 	readonly listen?: string;
 	readonly adminToken?: string;
-	/** Further administration tokens. @default [] */
+	/** Additional administration tokens. @default [] */
 	readonly adminTokens?: readonly AdminToken[];
-	/** How many of the engines, from the first on, are at the provider `old`. @default 0 */
+	/** Number of engines, counted from the first, that belong to the provider `old`. @default 0 */
 	readonly oldEngines?: number;
-	/** Limits and bounds of the entries' queues. @default {} */
+	/** Admission limits and queue sizes of the entries. @default {} */
 	readonly limits?: AdmissionOptions;
 	readonly recordFile?: string;
 	readonly logger?: Logger;
@@ -51,7 +51,7 @@
 	readonly engines: FakeEngine[];
 	readonly ledger: FakeService;
 	readonly origin: FakeOrigin;
-	/** Manifests of two versions that lie at the origin. */
+	/** Manifests of two versions that are published at the origin. */
 	readonly manifestIds: readonly string[];
 	readonly adminToken: string;
 	close(): Promise<void>;
@@ -60,8 +60,9 @@
 export const devAdminToken = 'dev-admin';
 
 /**
- * The whole system in one process on loopback: control, entries, agents, fake
- * engines, one plain service that may not be repeated, and an origin.
+ * Starts the complete system in one process on loopback: control, entries,
+ * agents, fake engines, one plain service whose calls may not be repeated, and
+ * an origin.
  */
 export const createDevCluster = async (options: DevClusterOptions = {}): Promise<DevCluster> => {
 	const {
--- a/packages/daemon/src/dev/deployments.ts
+++ b/packages/daemon/src/dev/deployments.ts
@@ -1,27 +1,27 @@
-import {cascadiaHalls, type Hall} from './create-dev-cluster.js';
+import {cascadiaHalls, type ZoneLocation} from './create-dev-cluster.js';
 
 export type DeploymentService = {
 	readonly serviceId: string;
 	readonly kind: 'engine' | 'plain';
 	readonly workers: number;
-	/** Fleets take hosts by provider, so each service of engines has one of its own. */
+	/** Fleets select hosts by provider, so each service with engines has its own provider. */
 	readonly provider: string;
 };
 
 export type DeploymentTeam = {readonly teamId: string; readonly share: number};
 
-/** One of the users' deployments, as their brief gives its sizes. */
+/** A user deployment with the sizes that its users specified. */
 export type Deployment = {
 	readonly name: string;
-	readonly halls: readonly Hall[];
-	/** One way. */
+	readonly halls: readonly ZoneLocation[];
+	/** One-way latencies. */
 	readonly latencyMs: {readonly betweenZones: number; readonly betweenRegions: number; readonly toClients: number};
-	/** The last one is the service whose calls may not be repeated. */
+	/** The calls of the last service may not be repeated. */
 	readonly services: readonly DeploymentService[];
 	readonly teams: readonly DeploymentTeam[];
 };
 
-/** Ten teams, a few of them large. */
+/** Ten teams, three of which have a larger share. */
 const teams = (prefix: string): DeploymentTeam[] => Array.from({length: 10}, (_, index) => ({teamId: `${prefix}-${index + 1}`, share: index < 3 ? 10 : 1}));
 
 export const midwayPitchDesk: Deployment = {
--- a/packages/daemon/src/dev/failure/create-failure-cluster.ts
+++ b/packages/daemon/src/dev/failure/create-failure-cluster.ts
@@ -9,7 +9,7 @@
 import {createAgentNode, type AgentNode, type AgentNodeOptions} from '../../agent/create-agent-node.js';
 import {createControlNode, type ControlNode} from '../../control/create-control-node.js';
 import {createEntryNode, type EntryNode} from '../../entry/create-entry-node.js';
-import {cascadiaHalls, randomWeights, type Hall} from '../create-dev-cluster.js';
+import {cascadiaHalls, randomWeights, type ZoneLocation} from '../create-dev-cluster.js';
 import type {DeploymentService} from '../deployments.js';
 import {anyNode, createLinks, type Links} from './links.js';
 import {createNodeHandle, type NodeHandle} from './node-handle.js';
@@ -21,49 +21,49 @@
 	readonly entries?: number;
 	/** Endpoints with a model engine. @default 4 */
 	readonly engines?: number;
-	/** Hosts are numbered through them. @default `engines` workers of bp-writers, and the ledger */
+	/** Host ids are numbered across all services. @default `engines` workers of bp-writers, and the ledger */
 	readonly services?: readonly DeploymentService[];
-	/** Of every link between nodes, one way. @default 0 */
+	/** One-way latency of every link between nodes. @default 0 */
 	readonly latencyMs?: number;
-	/** Endpoints are spread over them in turn. @default cascadiaHalls */
-	readonly halls?: readonly Hall[];
+	/** Availability zones, to which endpoints are assigned in turn. @default cascadiaHalls */
+	readonly halls?: readonly ZoneLocation[];
 	/** @default 64 * 1024 */
 	readonly weightsBytes?: number;
 	/** @default 8 * 1024 */
 	readonly chunkSizeBytes?: number;
 	/** @default 1 */
 	readonly tokenMs?: number;
-	/** How long a host may act on its configuration without a word from control; by default as control hosts have it. */
+	/** How long a host may act on its configuration without a message from control. @default the default of control hosts */
 	readonly leaseMs?: number;
 	/** @default 5000 */
 	readonly hostLossMs?: number;
-	/** How long an entry works on one call. @default 2000 */
+	/** Default deadline of a call at an entry. @default 2000 */
 	readonly deadlineMs?: number;
-	/** How long doors keep silent or forsaken runs. @default {endpointIdleMs: 1500, unattendedMs: 1000} */
+	/** When request gates terminate runs whose endpoint is silent or whose answer nobody reads. @default {endpointIdleMs: 1500, unattendedMs: 1000} */
 	readonly limits?: RunLimits;
-	/** What agents do otherwise than by default about weights. */
+	/** Options of the agents for weights that differ from the defaults. */
 	readonly weights?: Pick<AgentNodeOptions, 'engineCheckMs' | 'keepMs' | 'originCopies' | 'storeAddress' | 'transferLimits'>;
-	/** Whether engines refuse orders with an old fencing number. @default true */
+	/** Whether engines reject orders with an old fencing number. @default true */
 	readonly checksFencing?: boolean;
 	readonly logger?: Logger;
 };
 
-/** The real nodes in one process, with a relay on every link and a history that all record to. */
+/** Real nodes in one process, with a relay on every link and a shared history of events. */
 export type FailureCluster = {
 	readonly history: History;
 	readonly controls: ReadonlyArray<NodeHandle<ControlNode>>;
 	readonly entries: ReadonlyArray<NodeHandle<EntryNode>>;
-	/** The last one stands before the ledger. */
+	/** The last one is the agent of the ledger. */
 	readonly agents: ReadonlyArray<NodeHandle<AgentNode>>;
-	/** By host. */
+	/** By host id. */
 	readonly engines: ReadonlyMap<string, FakeEngine>;
 	readonly ledger: FakeService;
 	readonly origin: FakeOrigin;
 	readonly links: Links;
-	/** Two sets of weights at the origin. */
+	/** Two versions published at the origin. */
 	readonly manifests: ReadonlyArray<{readonly manifestId: string; readonly digest: string}>;
 	readonly adminToken: string;
-	/** Records what every running host acts on now. */
+	/** Records the configuration that each running host acts on. */
 	sampleHosts(): void;
 	close(): Promise<void>;
 };
@@ -110,17 +110,17 @@
 	});
 };
 
-type EndpointOptions = Pick<AgentNodeOptions, 'hostId' | 'serviceId' | 'provider' | 'kind' | 'endpointAddress'> & {readonly hall: Hall};
+type EndpointOptions = Pick<AgentNodeOptions, 'hostId' | 'serviceId' | 'provider' | 'kind' | 'endpointAddress'> & {readonly location: ZoneLocation};
 
 const createAgentHandle = async (context: Context, endpoint: EndpointOptions): Promise<NodeHandle<AgentNode>> => {
 	const {links, folder, originAddress, limits, weights, logger} = context;
-	const {hall, ...options} = endpoint;
+	const {location, ...options} = endpoint;
 	const controls = await addressesOfControls(context, options.hostId);
 	const announcedAddress = await links.addressOf(anyNode, options.hostId);
 	return createNodeHandle({
 		nodeId: options.hostId, links,
 		start: async () => createAgentNode({
-			...options, ...hall, ...weights, controls, originAddress, announcedAddress, folder: path.join(folder, options.hostId), limits, logger,
+			...options, ...location, ...weights, controls, originAddress, announcedAddress, folder: path.join(folder, options.hostId), limits, logger,
 		}),
 		stop: async node => node.stop(),
 		kill: async node => node.kill(),
@@ -148,7 +148,7 @@
 		}
 
 		agents.push(await createAgentHandle(context, {
-			hostId, serviceId, kind, provider, endpointAddress: endpoint.address, hall: halls[index % halls.length]!,
+			hostId, serviceId, kind, provider, endpointAddress: endpoint.address, location: halls[index % halls.length]!,
 		}));
 	}
 
--- a/packages/daemon/src/dev/failure/links.ts
+++ b/packages/daemon/src/dev/failure/links.ts
@@ -6,28 +6,28 @@
 	readonly relay: Relay;
 };
 
-/** All relays between the nodes of one cluster, by their ends. */
+/** The relays between the nodes of one cluster, by source and destination. */
 export type Links = {
-	/** The address that stands for `to` as `from` sees it; the link comes about on first use. */
+	/** The relay address at which `from` reaches `to`; the link is created on first use. */
 	addressOf(from: string, to: string): Promise<string>;
-	/** All links that end at `to` lead to `address` from now on. */
-	comeUp(to: string, address: string): Promise<void>;
-	/** All links that end at `to` refuse connections; after a planned stop what was sent before still arrives. */
-	goDown(to: string, end: 'planned' | 'crash'): void;
-	/** Links with one end among `nodeIds`, at either side. */
+	/** Forwards all links to `to` to `address` from now on. */
+	connect(to: string, address: string): Promise<void>;
+	/** Makes all links to `to` refuse connections; after a planned stop, data that was already sent still arrives. */
+	disconnect(to: string, mode: 'planned' | 'crash'): void;
+	/** Links whose source or destination is one of `nodeIds`. */
 	touching(nodeIds: readonly string[]): Link[];
-	/** Everything passes again; connections that have lost bytes end. */
+	/** Forwards everything again and closes connections that have lost bytes. */
 	heal(): void;
 	close(): void;
 };
 
-/** Stands at the other end of a link that all nodes share. */
+/** Source of a link that is shared by all nodes. */
 export const anyNode = '*';
 
 export const openModes: RelayModes = {forward: 'open', backward: 'open'};
 
 export type LinksOptions = {
-	/** Of every link, one way. @default 0 */
+	/** One-way latency of every link. @default 0 */
 	readonly latencyMs?: number;
 };
 
@@ -41,7 +41,7 @@
 			links.set(key, link);
 			return link.relay.address;
 		},
-		async comeUp(to, address) {
+		async connect(to, address) {
 			targets.set(to, address);
 			for (const link of links.values()) {
 				if (link.to === to) {
@@ -50,9 +50,9 @@
 				}
 			}
 		},
-		goDown(to, end) {
+		disconnect(to, mode) {
 			for (const link of links.values()) {
-				if (link.to === to && end === 'crash') {
+				if (link.to === to && mode === 'crash') {
 					link.relay.goDown();
 				} else if (link.to === to) {
 					link.relay.stopListening();
--- a/packages/daemon/src/dev/failure/node-handle.ts
+++ b/packages/daemon/src/dev/failure/node-handle.ts
@@ -2,22 +2,22 @@
 import {openModes, type Links} from './links.js';
 
 export type StartOptions = {
-	/** `asTheyAre`: cuts that were made while the node was down hold from its first byte on. @default 'opened' */
+	/** `asTheyAre`: partitions that were created while the node was down apply from its first byte on. @default 'opened' */
 	readonly links?: 'opened' | 'asTheyAre';
 };
 
-/** A node that a test kills, stops and starts again under the same id, folder and addresses. */
+/** A node that a test can kill, stop and restart with the same id, folder and addresses. */
 export type NodeHandle<Node> = {
 	readonly nodeId: string;
 	/** `undefined` while it is down. */
 	node(): Node | undefined;
-	/** Does nothing while it is up. */
+	/** Does nothing while the node is up. */
 	start(options?: StartOptions): Promise<void>;
-	/** Planned: the node ends its work first. */
+	/** Stops the node gracefully: it finishes its requests first. */
 	stop(): Promise<void>;
-	/** At once, as a crash would. */
+	/** Stops the node immediately, as in a crash. */
 	kill(): Promise<void>;
-	/** As a host does that loses power: nobody is told, connections fall silent; they end when it is back. */
+	/** Simulates a power loss: peers are not notified and connections go silent, until they are closed when the node is back. */
 	lose(): Promise<void>;
 };
 
@@ -32,34 +32,34 @@
 export const createNodeHandle = async <Node extends {readonly address: string}>(options: NodeHandleOptions<Node>): Promise<NodeHandle<Node>> => {
 	const {nodeId, links} = options;
 	let current: Node | undefined;
-	/** The node that is being stopped or killed. */
-	let leaving: Node | undefined;
-	let ended: Promise<void> = Promise.resolve();
-	/** Two who ask for a start at once get one node. */
+	/** The node that is being stopped or killed, if any. */
+	let terminating: Node | undefined;
+	let termination: Promise<void> = Promise.resolve();
+	/** Concurrent calls of `start` share one start. */
 	let starting: Promise<void> | undefined;
 	const start = async (startOptions: StartOptions = {}): Promise<void> => {
 		current = await options.start();
-		await links.comeUp(nodeId, current.address);
+		await links.connect(nodeId, current.address);
 		if (startOptions.links !== 'asTheyAre') {
 			setModes(openModes);
 		}
 	};
 
-	const endNode = async (node: Node, kind: 'planned' | 'crash'): Promise<void> => {
-		leaving = node;
+	const terminateNode = async (node: Node, kind: 'planned' | 'crash'): Promise<void> => {
+		terminating = node;
 		await (kind === 'planned' ? options.stop(node) : options.kill(node));
-		links.goDown(nodeId, kind);
-		leaving = undefined;
+		links.disconnect(nodeId, kind);
+		terminating = undefined;
 	};
 
-	const takeDown = async (kind: 'planned' | 'crash'): Promise<void> => {
+	const terminate = async (kind: 'planned' | 'crash'): Promise<void> => {
 		const node = current;
 		current = undefined;
 		if (node !== undefined) {
-			ended = endNode(node, kind);
+			termination = terminateNode(node, kind);
 		}
 
-		await ended;
+		await termination;
 	};
 
 	const setModes = (modes: RelayModes): void => {
@@ -73,8 +73,8 @@
 		nodeId,
 		node: () => current,
 		async start(startOptions) {
-			// The links of a node that comes up would be taken down by the end of the one before.
-			await ended;
+			// Otherwise the termination of the previous node would take down the links of the new one.
+			await termination;
 			if (current === undefined) {
 				starting ??= start(startOptions).finally(() => {
 					starting = undefined;
@@ -82,16 +82,16 @@
 				await starting;
 			}
 		},
-		stop: async () => takeDown('planned'),
-		kill: async () => takeDown('crash'),
+		stop: async () => terminate('planned'),
+		kill: async () => terminate('crash'),
 		async lose() {
-			// Also in the middle of a planned stop: power does not wait for its end.
-			const lost = current ?? leaving;
+			// Also applies to a node in the middle of a planned stop, because a power loss does not wait for its end.
+			const lostNode = current ?? terminating;
 			current = undefined;
 			setModes({forward: 'dropped', backward: 'dropped'});
-			const killed = lost === undefined ? undefined : options.kill(lost);
-			ended = Promise.all([ended, killed]).then(() => undefined);
-			await ended;
+			const killing = lostNode === undefined ? undefined : options.kill(lostNode);
+			termination = Promise.all([termination, killing]).then(() => undefined);
+			await termination;
 		},
 	};
 };
--- a/packages/daemon/src/dev/failure/operate.ts
+++ b/packages/daemon/src/dev/failure/operate.ts
@@ -4,7 +4,7 @@
 import type {FailureCluster} from './create-failure-cluster.js';
 
 export type OperateOptions = {
-	/** Position of the entry to ask. @default the first that is up */
+	/** Position of the entry that gets the command. @default the first that is running */
 	readonly entry?: number;
 	/** @default a new one */
 	readonly commandId?: string;
@@ -15,15 +15,15 @@
 
 const addressOfEntry = (cluster: FailureCluster, position: number | undefined): string => {
 	const entries = position === undefined ? cluster.entries : [cluster.entries[position]!];
-	const up = entries.find(entry => entry.node() !== undefined);
-	if (up === undefined) {
-		throw new Error('no entry is up');
+	const running = entries.find(entry => entry.node() !== undefined);
+	if (running === undefined) {
+		throw new Error('no entry is running');
 	}
 
-	return up.node()!.address;
+	return running.node()!.address;
 };
 
-/** Sends one command as an operator would, and records how it ended. */
+/** Sends one command as an operator and records its outcome. */
 export const operate = async (cluster: FailureCluster, line: string, options: OperateOptions = {}): Promise<CommandOutcome> => {
 	const {commandId = randomUUID(), ifRevision, timeoutMs = 6000} = options;
 	let outcome: CommandOutcome;
@@ -61,7 +61,7 @@
 	}
 };
 
-/** Sends the line again, under the same id, until it has an answer; throws when it is refused. */
+/** Retries the command with the same id until its outcome is known; throws if it is refused. */
 export const mustOperate = async (cluster: FailureCluster, line: string, options: {readonly entry?: number} = {}): Promise<number> => {
 	const commandId = randomUUID();
 	let revision = 0;
@@ -79,7 +79,7 @@
 
 export const failureTeamKey = 'marshals-key';
 
-/** Two versions of `pitch-desk`, the first loaded on all engines, and one team. */
+/** Creates one team and two versions of `pitch-desk`, and loads the first version on all engines. */
 export const loadFirstVersion = async (cluster: FailureCluster): Promise<void> => {
 	await waitUntil('all agents joined', async () => (await queryRows(cluster, 'show hosts where role = agent')).length === cluster.agents.length);
 	await mustOperate(cluster, `create team marshals key ${failureTeamKey}`);
@@ -93,6 +93,6 @@
 	await mustOperate(cluster, `create fleet fair provider new for pitch-desk:v1 replicas ${cluster.engines.size}`);
 	await mustOperate(cluster, 'load pitch-desk:v1 on fleet fair');
 	await waitUntil('all replicas ready', async () => (await queryRows(cluster, 'show replicas where ready = true')).length === cluster.engines.size);
-	// Entries hear of the last replicas a moment after control does.
+	// Entries receive the last replicas shortly after control.
 	await waitUntil('in force everywhere', async () => (await queryRows(cluster, 'show revision'))[0]?.missing === '');
 };
--- a/packages/daemon/src/dev/transfer-mesh.ts
+++ b/packages/daemon/src/dev/transfer-mesh.ts
@@ -30,14 +30,14 @@
 	readonly stores: Map<ManifestId, ChunkStore>;
 	readonly counters: Map<ManifestId, TransferCounters>;
 	readonly links: TransferLinks;
-	/** Opens the store and begins; resolves once the exchange runs. */
+	/** Opens the store and starts the exchange; resolves once it runs. */
 	start(version: MeshVersion, peers: readonly TransferPeer[]): Promise<void>;
 	changePeers(peers: readonly TransferPeer[]): void;
-	/** As a crash: no answer to anyone, nothing closed in order. */
+	/** Simulates a crash: responds to nobody and closes nothing in order. */
 	kill(): Promise<void>;
 };
 
-/** Agents' transfers with their servers and stores, without control and engines. */
+/** The transfers of several agents with their servers and stores, without control and engines. */
 export type TransferMesh = {
 	addHost(peer: SwarmPeer): Promise<MeshHost>;
 	close(): Promise<void>;
@@ -87,12 +87,12 @@
 		peer: {...self, address: server.address}, stores, counters, links,
 		async start({manifestId, manifest}, peers) {
 			const store = await openChunkStore({folder: path.join(folder, self.hostId), manifestId, manifest});
-			const counted: TransferCounters = {originBytes: 0, peerBytes: 0, lastFailure: ''};
+			const versionCounters: TransferCounters = {originBytes: 0, peerBytes: 0, lastFailure: ''};
 			stores.set(manifestId, store);
-			counters.set(manifestId, counted);
+			counters.set(manifestId, versionCounters);
 			transfers.set(manifestId, createTransfer({
 				store, self, selfAddress: () => server.address, sources: {origin: originAddress, store: storeAddress ?? null}, originCopies, peers, links,
-				counters: counted, logger: silentLogger, onComplete: () => undefined,
+				counters: versionCounters, logger: silentLogger, onComplete: () => undefined,
 			}));
 		},
 		changePeers(peers) {
--- a/packages/daemon/test/node-handle.test.ts
+++ b/packages/daemon/test/node-handle.test.ts
@@ -54,9 +54,9 @@
 };
 
 // A host loses power in the middle of a planned stop and is started again before
-// that stop would have ended. The late end of the old process took down the links
-// of the new one, for good: callers saw a system that never served again.
-t.test('a node that was lost while it stopped is reachable once it is started', async t => {
+// that stop would have ended. If the late termination of the old process takes
+// down the links of the new one, the node stays unreachable to all callers.
+t.test('a node that lost power during a stop is reachable once it is started', async t => {
 	const {handle, isReachable} = await createHandle(t);
 	t.ok(await isReachable());
 	const stopping = handle.stop();
@@ -66,7 +66,7 @@
 	t.ok(await isReachable());
 });
 
-t.test('a start while the node still stops waits for its end', async t => {
+t.test('a start during a stop waits until the node has stopped', async t => {
 	const {handle, isReachable} = await createHandle(t);
 	const stopping = handle.stop();
 	await handle.start();
@@ -74,9 +74,9 @@
 	t.ok(await isReachable());
 });
 
-t.test('two starts at once make one node', async t => {
+t.test('concurrent starts create one node', async t => {
 	const {handle, started} = await createHandle(t);
 	await handle.kill();
 	await Promise.all([handle.start(), handle.start()]);
-	t.equal(started.length, 2, 'the first and one more');
+	t.equal(started.length, 2, 'the initial node and one more');
 });
