--- a/packages/daemon/src/agent/transfer.ts
+++ b/packages/daemon/src/agent/transfer.ts
@@ -96,11 +96,11 @@
 	};
 
 	const fetchAndStore = async (chunk: number, source: ChunkSource): Promise<void> => {
-		const restMs = options.restMs?.() ?? 0;
-		if (restMs > 0) {
-			await delay(Math.min(restMs, maxPauseMs));
+		const pauseMs = options.restMs?.() ?? 0;
+		if (pauseMs > 0) {
+			await delay(Math.min(pauseMs, maxPauseMs));
 			dispatch({
-				type: 'failed', chunk, source, reason: 'busy', retryAfterMs: restMs,
+				type: 'failed', chunk, source, reason: 'busy', retryAfterMs: pauseMs,
 			});
 			return;
 		}
