--- a/packages/bench/src/benches.ts
+++ b/packages/bench/src/benches.ts
@@ -13,7 +13,7 @@
 import {measureQuarantine} from './quarantine.js';
 import {measureLimits, measureRouting} from './routing.js';
 
-/** A measurement: takes its flags, prints what it likes, gives the object for the last line. */
+/** A benchmark: receives its command-line flags, may print progress, and resolves to the object that is printed as the last line. */
 export type Bench = (flags: readonly string[]) => Promise<Record<string, unknown>>;
 
 export const benches: Record<string, Bench> = {
--- a/packages/bench/src/burn.ts
+++ b/packages/bench/src/burn.ts
@@ -15,8 +15,8 @@
 	return process.memoryUsage().heapUsed;
 };
 
-/** Three days of requests for `pairs` pairs of service and team, with first tokens spread over three decades. */
-const fill = (pairs: number): BurnCounter => {
+/** Creates a counter with three days of requests for `pairs` pairs of service and team, whose times to the first token spread over three orders of magnitude. */
+const createFilledCounter = (pairs: number): BurnCounter => {
 	const random = createRandom(seed);
 	const counter = createBurnCounter();
 	for (let sample = 0; sample < hours * samplesPerHour; sample++) {
@@ -34,17 +34,17 @@
 
 type Counts = Omit<BurnAnswer, 'entryId'>;
 
-type Merged = {readonly mergeMs: number; readonly longestStepMs: number; readonly mergeBytes: number; readonly rows: number};
+type MergeCost = {readonly mergeMs: number; readonly longestStepMs: number; readonly mergeBytes: number; readonly rows: number};
 
-/** Merges answers as an entry does, but for the time that others get between two steps. */
-const mergeAll = (answers: readonly Counts[]): Merged => {
+/** Merges responses as an entry does, except that it does not yield to other work between two steps. */
+const mergeResponses = (answers: readonly Counts[]): MergeCost => {
 	const before = heapBytes();
 	const merge = createBurnMerge();
 	const options = {nowMs: endMs, missingEntries: [], objectives: new Map<string, never>()};
 	let longestStepMs = 0;
 	let mergeMs = 0;
 	let stepStartedMs = performance.now();
-	const endStep = (): void => {
+	const recordStep = (): void => {
 		const stepMs = performance.now() - stepStartedMs;
 		longestStepMs = Math.max(longestStepMs, stepMs);
 		mergeMs += stepMs;
@@ -53,14 +53,14 @@
 
 	for (const [index, counts] of answers.entries()) {
 		for (const _step of addBurnAnswer(merge, {entryId: `e${index}`, ...counts})) {
-			endStep();
+			recordStep();
 		}
 	}
 
 	let rows = 0;
-	for (const ofService of burnRowsByService(merge, options)) {
-		rows += ofService.length;
-		endStep();
+	for (const serviceRows of burnRowsByService(merge, options)) {
+		rows += serviceRows.length;
+		recordStep();
 	}
 
 	return {
@@ -68,24 +68,24 @@
 	};
 };
 
-/** The last is a tenth of the fleet: with the most pairs that an entry counts, all of it takes minutes. */
-const fleets = [{entries: 330, pairs: 4}, {entries: 330, pairs: 16}, {entries: 330, pairs: 64}, {entries: 33, pairs: 256}];
+/** The last size has a tenth of the entries: with the maximum number of pairs that an entry counts, the full number takes minutes. */
+const fleetSizes = [{entries: 330, pairs: 4}, {entries: 330, pairs: 16}, {entries: 330, pairs: 64}, {entries: 33, pairs: 256}];
 
-/** The report over a large fleet: each answer is parsed and checked as it comes from the wire, then merged, then dropped. */
-const measureFleet = ({entries, pairs}: typeof fleets[number]): Record<string, unknown> => {
-	const text = JSON.stringify({entryId: 'e', ...exportCounts(fill(pairs), endMs)});
+/** Measures the report over a large fleet: each response is parsed and validated as if received from the network, merged, then discarded. */
+const measureFleet = ({entries, pairs}: typeof fleetSizes[number]): Record<string, unknown> => {
+	const text = JSON.stringify({entryId: 'e', ...exportCounts(createFilledCounter(pairs), endMs)});
 	const before = heapBytes();
 	const startedMs = performance.now();
 	const merge = createBurnMerge();
 	let parseMs = 0;
-	let longestParseMs = 0;
+	let maxParseMs = 0;
 	let longestStepMs = 0;
 	for (let entry = 0; entry < entries; entry++) {
-		const parsedFromMs = performance.now();
+		const parseStartedMs = performance.now();
 		const answer = burnAnswerSchema.parse(JSON.parse(text));
-		const lastParseMs = performance.now() - parsedFromMs;
+		const lastParseMs = performance.now() - parseStartedMs;
 		parseMs += lastParseMs;
-		longestParseMs = Math.max(longestParseMs, lastParseMs);
+		maxParseMs = Math.max(maxParseMs, lastParseMs);
 		let stepStartedMs = performance.now();
 		for (const _step of addBurnAnswer(merge, {...answer, entryId: `e${entry}`})) {
 			longestStepMs = Math.max(longestStepMs, performance.now() - stepStartedMs);
@@ -97,24 +97,24 @@
 	const report = burnReportOf(merge, options, [...burnRowsByService(merge, options)].flat());
 	return {
 		entries, pairs, rows: report.rows.length, heardEntries: report.heardEntries.length, answerBytes: text.length, totalMs: Math.round(performance.now() - startedMs),
-		parseMs: Math.round(parseMs), longestParseMs: Math.round(longestParseMs), longestStepMs: Math.round(longestStepMs), mergeBytes: heapBytes() - before,
+		parseMs: Math.round(parseMs), longestParseMs: Math.round(maxParseMs), longestStepMs: Math.round(longestStepMs), mergeBytes: heapBytes() - before,
 		residentBytes: process.memoryUsage().rss,
 	};
 };
 
-/** What counting costs an entry: processor time a request, memory and bytes on the wire for each pair of service and team. */
+/** Measures the cost of counting on an entry: CPU time per request, and memory and bytes on the wire per pair of service and team. */
 export const measureBurn = async (): Promise<Record<string, unknown>> => {
 	const points = [4, 16, 64, 256].map(pairs => {
 		const before = heapBytes();
 		const startedMs = performance.now();
-		const counter = fill(pairs);
+		const counter = createFilledCounter(pairs);
 		const countedMs = performance.now() - startedMs;
 		const memoryBytes = heapBytes() - before;
 		const exportedMs = performance.now();
 		const counts = exportCounts(counter, endMs);
 		const wireBytes = JSON.stringify(counts).length;
 		const reportedMs = performance.now();
-		const three = mergeAll(Array.from({length: 3}, () => counts));
+		const mergedThree = mergeResponses(Array.from({length: 3}, () => counts));
 
 		return {
 			pairs,
@@ -122,14 +122,14 @@
 			memoryBytesPerPair: Math.round(memoryBytes / pairs),
 			wireBytesPerPair: Math.round(wireBytes / pairs),
 			exportMs: Math.round(reportedMs - exportedMs),
-			mergeThreeEntriesMs: Math.round(three.mergeMs), longestMergeStepMs: Math.round(three.longestStepMs),
+			mergeThreeEntriesMs: Math.round(mergedThree.mergeMs), longestMergeStepMs: Math.round(mergedThree.longestStepMs),
 		};
 	});
 	for (const point of points) {
 		process.stdout.write(`${JSON.stringify(point)}\n`);
 	}
 
-	const fleet = fleets.map(size => {
+	const fleet = fleetSizes.map(size => {
 		const point = measureFleet(size);
 		process.stdout.write(`${JSON.stringify(point)}\n`);
 		return point;
--- a/packages/bench/src/burst-fake.ts
+++ b/packages/bench/src/burst-fake.ts
@@ -2,7 +2,7 @@
 import {randomWeights} from '@bitternpaddle/daemon';
 import {createFakeEngine, createFakeOrigin} from '@bitternpaddle/test-support';
 
-/** What a fake in a process of its own is asked to be, as JSON in its only argument. */
+/** The role of a fake that runs in its own process, passed as JSON in its only argument. */
 export type FakeRole
 	= | {readonly type: 'engine'}
 		| {readonly type: 'origin'; readonly bytesPerSecond: number; readonly sizeBytes: number; readonly chunkSizeBytes: number; readonly seeds: readonly number[]};
@@ -11,19 +11,19 @@
 
 export type FakeMessage
 	= | {readonly type: 'listening'; readonly address: string; readonly versions: readonly PublishedVersion[]}
-	/** Digest over the bytes that the engine holds. */
+	/** Digest of the weights that the engine holds. */
 		| {readonly type: 'holds'; readonly digest: string}
-	/** Weight bytes that the origin has sent so far. */
+	/** Weight bytes that the origin has sent since it started. */
 		| {readonly type: 'sent'; readonly sentBytes: number};
 
-const reportMs = 100;
+const reportIntervalMs = 100;
 
 const send = (message: FakeMessage): void => {
 	process.send!(message);
 };
 
-/** Sends what `read` gives whenever it has changed. */
-const report = <Value>(read: () => Value | null, toMessage: (value: Value) => FakeMessage): void => {
+/** Polls `read` and sends a message whenever its value has changed. */
+const reportChanges = <Value>(read: () => Value | null, toMessage: (value: Value) => FakeMessage): void => {
 	let last: Value | null = null;
 	setInterval(() => {
 		const value = read();
@@ -31,13 +31,13 @@
 			last = value;
 			send(toMessage(value));
 		}
-	}, reportMs);
+	}, reportIntervalMs);
 };
 
 const runEngine = async (): Promise<void> => {
 	const engine = await createFakeEngine();
 	send({type: 'listening', address: engine.address, versions: []});
-	report(engine.heldDigest, digest => ({type: 'holds', digest}));
+	reportChanges(engine.heldDigest, digest => ({type: 'holds', digest}));
 };
 
 const runOrigin = async ({bytesPerSecond, sizeBytes, chunkSizeBytes, seeds}: Extract<FakeRole, {type: 'origin'}>): Promise<void> => {
@@ -49,7 +49,7 @@
 	}
 
 	send({type: 'listening', address: origin.address, versions});
-	report(origin.sentBytes, sentBytes => ({type: 'sent', sentBytes}));
+	reportChanges(origin.sentBytes, sentBytes => ({type: 'sent', sentBytes}));
 };
 
 process.once('disconnect', () => {
--- a/packages/bench/src/burst-fakes.ts
+++ b/packages/bench/src/burst-fakes.ts
@@ -3,11 +3,11 @@
 import {waitUntil} from '@bitternpaddle/daemon';
 import type {FakeMessage, FakeRole, PublishedVersion} from './burst-fake.js';
 
-/** A fake engine or origin in a process of its own: in one process 64 engines that load at once would hold up each other's answers and the callers. */
+/** A fake engine or origin in its own process: 64 engines that load at the same time in one process would delay each other's responses and the callers. */
 export type FakeProcess = {
 	readonly address: string;
 	readonly versions: readonly PublishedVersion[];
-	/** What the engine holds, at most a tenth of a second ago. */
+	/** Digest of the weights that the engine holds, at most 100 ms old. */
 	heldDigest(): string | null;
 	sentBytes(): number;
 	close(): void;
@@ -38,7 +38,7 @@
 			}
 		}
 	});
-	await waitUntil('the fake listens', () => listening !== null, {timeoutMs: 60_000});
+	await waitUntil('the fake is listening', () => listening !== null, {timeoutMs: 60_000});
 	const {address, versions} = listening!;
 	return {
 		address, versions, heldDigest: () => heldDigest, sentBytes: () => sentBytes,
--- a/packages/bench/src/burst.ts
+++ b/packages/bench/src/burst.ts
@@ -15,16 +15,16 @@
 const agents = 64;
 const sizeBytes = 16 * 1024 * 1024;
 const chunkSizeBytes = 128 * 1024;
-/** Low enough that twelve processors carry 64 links; the origin has twice that. */
+/** Low enough for twelve CPU cores to sustain 64 links; the origin has twice this rate. */
 const linkBytesPerSecond = 512 * 1024;
 const callers = 8;
-const callerPauseMs = 50;
-const idleMs = 15_000;
+const callPauseMs = 50;
+const idlePhaseMs = 15_000;
 const adminToken = 'burst-admin';
 const teamKey = 'burst-team';
 const daemonFile = path.resolve('packages/daemon/bin/bitternpaddled.js');
 
-type Bed = {
+type BurstCluster = {
 	readonly entryAddress: string;
 	readonly engines: readonly FakeProcess[];
 	readonly origin: FakeProcess;
@@ -38,8 +38,8 @@
 	{stdio: 'ignore'},
 );
 
-/** One control host, one entry, 64 agents, their fake engines and the fake origin, each a process; this one holds the callers alone. */
-const createBed = async (): Promise<Bed> => {
+/** Starts one control host, one entry, 64 agents, their fake engines and the fake origin, each in its own process; this process runs only the callers. */
+const createBurstCluster = async (): Promise<BurstCluster> => {
 	const folder = await mkdtemp(path.join(os.tmpdir(), 'bitternpaddle-burst-'));
 	const origin = await startFake({
 		type: 'origin', bytesPerSecond: 2 * linkBytesPerSecond, sizeBytes, chunkSizeBytes, seeds: [1, 2],
@@ -56,9 +56,9 @@
 		}),
 	];
 	for (const [index, engine] of engines.entries()) {
-		const hall = cascadiaHalls[index % cascadiaHalls.length]!;
+		const zone = cascadiaHalls[index % cascadiaHalls.length]!;
 		children.push(startDaemon({
-			roles: 'agent', 'host-id': `h${index}`, controls, endpoint: engine.address, origin: origin.address, zone: hall.zoneId, region: hall.regionId,
+			roles: 'agent', 'host-id': `h${index}`, controls, endpoint: engine.address, origin: origin.address, zone: zone.zoneId, region: zone.regionId,
 			service: 'bp-writers', provider: 'new', 'data-folder': path.join(folder, `h${index}`),
 			'transfer-in-bytes-per-second': String(linkBytesPerSecond), 'transfer-out-bytes-per-second': String(linkBytesPerSecond),
 		}));
@@ -80,7 +80,7 @@
 	};
 };
 
-/** `flowing`: no engine has changed its version yet; `switching`: from the first engine's change to the last one's. */
+/** `flowing`: weights are being transferred and no engine has changed its version yet; `switching`: from the first engine's change of version to the last one's. */
 type Phase = 'idle' | 'flowing' | 'switching';
 
 type Histogram = ReturnType<typeof buildHistogram>;
@@ -96,8 +96,8 @@
 
 type PhaseOf = () => Phase;
 
-/** An answer is wrong unless it is whole, the caller's own, and from exactly one of the two versions as tagged. */
-const callOnce = async ({entryAddress, versions}: Bed, calls: Calls, phase: Phase, text: string): Promise<void> => {
+/** Counts an answer as wrong unless it is complete, belongs to this caller's request, and was produced by the version that its header names. */
+const callOnce = async ({entryAddress, versions}: BurstCluster, calls: Calls, phase: Phase, text: string): Promise<void> => {
 	const startedAtMs = performance.now();
 	const {status, text: body, headers} = await postJson({
 		address: entryAddress, token: teamKey, path: '/v1/chat/completions', body: {model: 'pitch-desk', max_tokens: 8, messages: [{role: 'user', content: text}]},
@@ -112,64 +112,64 @@
 	calls.latencies.recordValue(latencyUs);
 	calls.latenciesOf[phase].recordValue(latencyUs);
 	const answer = JSON.parse(body) as {system_fingerprint: string; choices: Array<{message: {content: string}}>};
-	const tagged = headers['x-bitternpaddle-version'] === 'pitch-desk:v2' ? versions[1]! : versions[0]!;
-	if (answer.system_fingerprint !== tagged.digest || answer.choices[0]!.message.content !== `echo ${text}`) {
+	const taggedVersion = headers['x-bitternpaddle-version'] === 'pitch-desk:v2' ? versions[1]! : versions[0]!;
+	if (answer.system_fingerprint !== taggedVersion.digest || answer.choices[0]!.message.content !== `echo ${text}`) {
 		calls.wrong++;
 	}
 };
 
-const callUntil = async (bed: Bed, calls: Calls, phaseOf: PhaseOf, isOver: () => boolean): Promise<void> => {
+const callUntil = async (cluster: BurstCluster, calls: Calls, phaseOf: PhaseOf, isOver: () => boolean): Promise<void> => {
 	await Promise.all(Array.from({length: callers}, async (_, caller) => {
 		for (let number = 0; !isOver(); number++) {
-			await callOnce(bed, calls, phaseOf(), `${caller}-${number}`).catch(() => {
+			await callOnce(cluster, calls, phaseOf(), `${caller}-${number}`).catch(() => {
 				calls.refused++;
 			});
-			await delay(callerPauseMs);
+			await delay(callPauseMs);
 		}
 	}));
 };
 
-const order = async (bed: Bed, line: string): Promise<void> => waitUntil(line, async () => {
+const submitLine = async (cluster: BurstCluster, line: string): Promise<void> => waitUntil(line, async () => {
 	const answer = await sendLine({
-		address: bed.entryAddress, token: adminToken, line, commandId: line,
+		address: cluster.entryAddress, token: adminToken, line, commandId: line,
 	}).catch(() => null);
 	return answer?.body.type === 'accepted';
 }, {timeoutMs: 60_000});
 
-const load = async (bed: Bed, position: number): Promise<{seconds: number; copies: number}> => {
-	const sentBefore = bed.origin.sentBytes();
+const loadVersion = async (cluster: BurstCluster, position: number): Promise<{seconds: number; copies: number}> => {
+	const sentBefore = cluster.origin.sentBytes();
 	const startedAtMs = performance.now();
-	await order(bed, `load pitch-desk:v${position + 1} on fleet bench`);
-	await waitUntil('all engines hold the version', () => bed.engines.every(engine => engine.heldDigest() === bed.versions[position]!.digest), {timeoutMs: 300_000});
-	return {seconds: (performance.now() - startedAtMs) / 1000, copies: (bed.origin.sentBytes() - sentBefore) / sizeBytes};
+	await submitLine(cluster, `load pitch-desk:v${position + 1} on fleet bench`);
+	await waitUntil('all engines hold the version', () => cluster.engines.every(engine => engine.heldDigest() === cluster.versions[position]!.digest), {timeoutMs: 300_000});
+	return {seconds: (performance.now() - startedAtMs) / 1000, copies: (cluster.origin.sentBytes() - sentBefore) / sizeBytes};
 };
 
-/** A new version goes to 64 agents that serve callers all the while. */
+/** Distributes a new version to 64 agents that serve callers throughout. */
 export const measureBurst = async (): Promise<Record<string, unknown>> => {
-	const bed = await createBed();
+	const cluster = await createBurstCluster();
 	try {
-		await waitUntil('all agents joined', async () => {
-			const answer = await sendLine({address: bed.entryAddress, token: adminToken, line: 'show hosts where role = agent'}).catch(() => null);
+		await waitUntil('all agents have joined', async () => {
+			const answer = await sendLine({address: cluster.entryAddress, token: adminToken, line: 'show hosts where role = agent'}).catch(() => null);
 			return answer?.body.rows?.length === agents;
 		}, {timeoutMs: 120_000});
-		await order(bed, `create team bench key ${teamKey}`);
-		await order(bed, 'create model pitch-desk');
-		for (const [index, {manifestId}] of bed.versions.entries()) {
-			await order(bed, `create version pitch-desk:v${index + 1} from manifest ${manifestId}`);
+		await submitLine(cluster, `create team bench key ${teamKey}`);
+		await submitLine(cluster, 'create model pitch-desk');
+		for (const [index, {manifestId}] of cluster.versions.entries()) {
+			await submitLine(cluster, `create version pitch-desk:v${index + 1} from manifest ${manifestId}`);
 		}
 
-		await order(bed, `create fleet bench provider new for pitch-desk:v1 replicas ${agents}`);
-		const first = await load(bed, 0);
+		await submitLine(cluster, `create fleet bench provider new for pitch-desk:v1 replicas ${agents}`);
+		const first = await loadVersion(cluster, 0);
 		process.stdout.write(`first version: ${JSON.stringify(first)}\n`);
 		await delay(3000);
 		const idle = createCalls();
-		const idleUntilMs = performance.now() + idleMs;
-		await callUntil(bed, idle, () => 'idle', () => performance.now() > idleUntilMs);
+		const idleUntilMs = performance.now() + idlePhaseMs;
+		await callUntil(cluster, idle, () => 'idle', () => performance.now() > idleUntilMs);
 		const during = createCalls();
 		let isOver = false;
-		const hasSwitched = (): boolean => bed.engines.some(engine => engine.heldDigest() === bed.versions[1]!.digest);
-		const calling = callUntil(bed, during, () => hasSwitched() ? 'switching' : 'flowing', () => isOver);
-		const second = await load(bed, 1);
+		const hasSwitched = (): boolean => cluster.engines.some(engine => engine.heldDigest() === cluster.versions[1]!.digest);
+		const calling = callUntil(cluster, during, () => hasSwitched() ? 'switching' : 'flowing', () => isOver);
+		const second = await loadVersion(cluster, 1);
 		isOver = true;
 		await calling;
 		const floorSeconds = sizeBytes / linkBytesPerSecond;
@@ -182,6 +182,6 @@
 			answered: during.answered, refused: during.refused, refusedIdle: idle.refused, firstVersion: first,
 		};
 	} finally {
-		await bed.close();
+		await cluster.close();
 	}
 };
--- a/packages/bench/src/configuration.ts
+++ b/packages/bench/src/configuration.ts
@@ -4,23 +4,23 @@
 
 const hostCounts = [120, 1200, 12_000];
 const zoneCount = 31;
-const changesTimed = 300;
+const timedChanges = 300;
 
 const parseChange = (change: unknown): CatalogChange => changeSchema.parse(change) as CatalogChange;
 
-const joined = (position: number, incarnation: number): CatalogChange => parseChange({
+const hostJoinedChange = (position: number, incarnation: number): CatalogChange => parseChange({
 	type: 'hostJoined', announcement: {
 		hostId: `h${position}`, zoneId: `zone-${position % zoneCount}`, regionId: `region-${position % 9}`, serviceId: 'bp-writers', provider: 'new',
 		address: `10.0.${Math.floor(position / 256)}.${position % 256}:7000`, capacity: 8, incarnation, kind: 'engine',
 	},
 });
 
-const ready = (positions: readonly number[]): CatalogChange => parseChange({
+const replicasReadyChange = (positions: readonly number[]): CatalogChange => parseChange({
 	type: 'replicasChanged', readiness: positions.map(position => ({hostId: `h${position}`, incarnation: 1, versionId: 'm:v1'})),
 });
 
-/** A catalog with `hosts` hosts, nine in ten of them carrying one of ten fleets. */
-const createFilled = (hosts: number): Catalog => {
+/** Creates a catalog with `hosts` hosts; nine in ten of them are assigned to one of ten fleets. */
+const createFilledCatalog = (hosts: number): Catalog => {
 	const catalog = createCatalog();
 	const changes = [
 		{type: 'createModel', modelId: 'm'},
@@ -30,7 +30,7 @@
 		})),
 	].map(change => parseChange(change));
 	for (let position = 0; position < hosts; position++) {
-		changes.push(joined(position, 1));
+		changes.push(hostJoinedChange(position, 1));
 	}
 
 	changes.push(...Array.from({length: 10}, (_, index) => parseChange({type: 'load', versionId: 'm:v1', fleetId: `f${index}`})));
@@ -41,31 +41,31 @@
 	return catalog;
 };
 
-/** Microseconds a change, over as many changes of one kind. */
+/** Mean microseconds per change, over `timedChanges` changes of one type. */
 const timeChanges = (catalog: Catalog, create: (round: number) => CatalogChange): number => {
-	const changes = Array.from({length: changesTimed}, (_, round) => create(round));
-	const beganAtMs = performance.now();
+	const changes = Array.from({length: timedChanges}, (_, round) => create(round));
+	const startedAtMs = performance.now();
 	for (const change of changes) {
 		if (applyChange(catalog, change, catalog.revision + 1) !== null) {
-			throw new Error(`${change.type} was refused`);
+			throw new Error(`${change.type} was rejected`);
 		}
 	}
 
-	return Math.round((performance.now() - beganAtMs) / changesTimed * 1000 * 10) / 10;
+	return Math.round((performance.now() - startedAtMs) / timedChanges * 1000 * 10) / 10;
 };
 
 const measureApply = (hosts: number): Record<string, number> => {
-	const catalog = createFilled(hosts);
-	const spread = (round: number): number => round * 7919 % hosts;
+	const catalog = createFilledCatalog(hosts);
+	const spreadPosition = (round: number): number => round * 7919 % hosts;
 	return {
 		hosts,
-		readinessOf20Micros: timeChanges(catalog, round => ready(Array.from({length: 20}, (_, offset) => spread(round + offset)))),
-		restartMicros: timeChanges(catalog, round => joined(spread(round), 2 + round)),
-		drainMicros: timeChanges(catalog, round => parseChange({type: round % 2 === 0 ? 'drainHost' : 'undrainHost', hostId: `h${spread(Math.floor(round / 2))}`})),
+		readinessOf20Micros: timeChanges(catalog, round => replicasReadyChange(Array.from({length: 20}, (_, offset) => spreadPosition(round + offset)))),
+		restartMicros: timeChanges(catalog, round => hostJoinedChange(spreadPosition(round), 2 + round)),
+		drainMicros: timeChanges(catalog, round => parseChange({type: round % 2 === 0 ? 'drainHost' : 'undrainHost', hostId: `h${spreadPosition(Math.floor(round / 2))}`})),
 	};
 };
 
-/** What a change costs a host and a control host, by the number of hosts. */
+/** Measures what applying a change costs a host or a control host, by the number of hosts in the catalog. */
 export const measureConfiguration = async (): Promise<Record<string, unknown>> => {
 	const applied = hostCounts.map(hosts => measureApply(hosts));
 	for (const row of applied) {
--- a/packages/bench/src/flood.ts
+++ b/packages/bench/src/flood.ts
@@ -7,16 +7,16 @@
 
 type Bounds = {readonly maxConnections: number; readonly maxBufferedBytes: number};
 
-const usualBounds: Bounds = {maxConnections: 1024, maxBufferedBytes: 16 * 1024 * 1024};
-/** The most that the settings take, which this bench does not reach. */
+const defaultBounds: Bounds = {maxConnections: 1024, maxBufferedBytes: 16 * 1024 * 1024};
+/** The maximum values of the settings; this benchmark does not reach them. */
 const noBounds: Bounds = {maxConnections: 1_000_000, maxBufferedBytes: 1_000_000_000_000};
 const rounds = 2;
 const goodCallers = 8;
 const tokens = 16;
 const phaseMs = 8000;
-const sampleMs = 200;
-const settleMs = 5000;
-const senderBatch = 100;
+const sampleIntervalMs = 200;
+const floodCooldownMs = 5000;
+const connectBatchSize = 100;
 
 type Flood = {readonly name: string; readonly senders: number; readonly text: string};
 
@@ -42,7 +42,7 @@
 const openFlood = async (address: string, {senders, text}: Flood): Promise<net.Socket[]> => {
 	const sockets: net.Socket[] = [];
 	while (sockets.length < senders) {
-		const count = Math.min(senderBatch, senders - sockets.length);
+		const count = Math.min(connectBatchSize, senders - sockets.length);
 		sockets.push(...await Promise.all(Array.from({length: count}, async () => openSender(address, text))));
 	}
 
@@ -67,7 +67,7 @@
 
 const megabytes = (bytes: number): number => Math.round(10 * bytes / 1_048_576) / 10;
 
-/** Good callers for a while, with the entry's private memory sampled meanwhile. */
+/** Runs well-behaved callers for `phaseMs` and samples the entry's private memory meanwhile. */
 const measurePhase = async (name: string, pid: number, address: string): Promise<Record<string, unknown>> => {
 	const callers: Callers = {latenciesMs: [], failures: 0};
 	const untilMs = performance.now() + phaseMs;
@@ -75,7 +75,7 @@
 	let peakBytes = 0;
 	while (performance.now() < untilMs) {
 		peakBytes = Math.max(peakBytes, (await readMemory(pid)).privateBytes);
-		await delay(sampleMs);
+		await delay(sampleIntervalMs);
 	}
 
 	await calling;
@@ -88,11 +88,12 @@
 };
 
 /**
- * An entry process under floods of connections: its private memory, and how
- * good callers fare meanwhile. `--unbounded` shows the same without the bounds.
+ * Measures an entry process under floods of connections: its private memory, and
+ * the latencies and failures of well-behaved callers meanwhile. `--unbounded`
+ * measures the same without the connection and buffer bounds.
  */
 export const measureFlood = async (flags: readonly string[]): Promise<Record<string, unknown>> => {
-	const {maxConnections, maxBufferedBytes} = flags.includes('--unbounded') ? noBounds : usualBounds;
+	const {maxConnections, maxBufferedBytes} = flags.includes('--unbounded') ? noBounds : defaultBounds;
 	const phases: Array<Record<string, unknown>> = [];
 	await withStreamPath(async ({entry: {pid}, entryAddress}) => {
 		await measurePhase('warm-up', pid, entryAddress);
@@ -106,7 +107,7 @@
 				socket.destroy();
 			}
 
-			await delay(settleMs);
+			await delay(floodCooldownMs);
 		}
 
 		phases.push(await measurePhase('after', pid, entryAddress));
--- a/packages/bench/src/overhead.ts
+++ b/packages/bench/src/overhead.ts
@@ -14,7 +14,7 @@
 	readonly address: string;
 	readonly histogram: Histogram;
 	readonly pool: http.Agent;
-	/** Time spent in counted rounds. */
+	/** Total duration of the counted rounds. */
 	tookMs: number;
 };
 
@@ -33,11 +33,11 @@
 	});
 	const text = await readBody(response);
 	if (response.statusCode !== 200) {
-		throw new Error(`status ${response.statusCode} in the measurement: ${text.toString()}`);
+		throw new Error(`request failed with status ${response.statusCode} during the measurement: ${text.toString()}`);
 	}
 };
 
-/** A closed loop: each of the callers sends its next request when it has its answer. */
+/** Sends requests in a closed loop: each of the concurrent callers sends its next request when it has received the response to the last one. */
 const sendMany = async (path: Path, count: number, isCounted: boolean): Promise<void> => {
 	let left = count;
 	const startedAtMs = performance.now();
@@ -62,33 +62,34 @@
 	requestsPerSecond: Math.round(rounds * requestsPerRound / tookMs * 1000),
 });
 
-const ratio = (one: number, other: number): number => Math.round(one / other * 100) / 100;
+const ratio = (value: number, base: number): number => Math.round(value / base * 100) / 100;
 
 /**
- * Caller -> entry -> agent -> engine, over caller -> engine, each a process of
- * its own and all over keep-alive connections. The two take turns, so that
- * other load on the machine falls on both. `--profile FOLDER` writes CPU profiles.
+ * Compares the path caller -> entry -> agent -> engine with caller -> engine, each
+ * in its own process and all over keep-alive connections. The two paths alternate
+ * by round, so that other load on the machine affects both. `--profile FOLDER`
+ * writes CPU profiles.
  */
 export const measureOverhead = async (flags: readonly string[]): Promise<Record<string, unknown>> => {
-	const profileAt = flags.indexOf('--profile');
-	const cluster = await createProcessCluster({profileFolder: profileAt === -1 ? undefined : flags[profileAt + 1]});
+	const profileIndex = flags.indexOf('--profile');
+	const cluster = await createProcessCluster({profileFolder: profileIndex === -1 ? undefined : flags[profileIndex + 1]});
 	const directPath = createPath(cluster.engineAddress);
-	const throughPath = createPath(cluster.entryAddress);
+	const routedPath = createPath(cluster.entryAddress);
 	try {
-		for (const path of [directPath, throughPath]) {
+		for (const path of [directPath, routedPath]) {
 			await sendMany(path, warmUpRequests, false);
 		}
 
 		for (let round = 1; round <= rounds; round++) {
-			for (const path of [directPath, throughPath]) {
+			for (const path of [directPath, routedPath]) {
 				await sendMany(path, requestsPerRound, true);
 			}
 
-			process.stdout.write(`round ${round}: direct ${latenciesOf(directPath).p50Ms} ms, through ${latenciesOf(throughPath).p50Ms} ms at p50\n`);
+			process.stdout.write(`round ${round}: direct ${latenciesOf(directPath).p50Ms} ms, through the entry ${latenciesOf(routedPath).p50Ms} ms at p50\n`);
 		}
 
 		const direct = latenciesOf(directPath);
-		const through = latenciesOf(throughPath);
+		const through = latenciesOf(routedPath);
 		return {
 			bench: 'overhead', requests: rounds * requestsPerRound, concurrency, direct, through,
 			addedMs: {p50: ratio(through.p50Ms - direct.p50Ms, 1), p99: ratio(through.p99Ms - direct.p99Ms, 1)},
@@ -96,7 +97,7 @@
 		};
 	} finally {
 		directPath.pool.destroy();
-		throughPath.pool.destroy();
+		routedPath.pool.destroy();
 		await cluster.close();
 	}
 };
--- a/packages/bench/src/processes.ts
+++ b/packages/bench/src/processes.ts
@@ -8,7 +8,7 @@
 import {sendLine, waitUntil} from '@bitternpaddle/daemon';
 import {freeAddresses} from '@bitternpaddle/test-support';
 
-/** The smallest whole system as production has it: each role a process of its own. */
+/** The smallest complete system as deployed in production: each role runs in its own process. */
 export type ProcessCluster = {
 	readonly entryAddress: string;
 	readonly engineAddress: string;
@@ -16,7 +16,7 @@
 };
 
 export type ProcessClusterOptions = {
-	/** Where entry and agent write their `--cpu-prof`; without it none is written. */
+	/** Folder for the `--cpu-prof` files of entry and agent; without it no profile is written. */
 	readonly profileFolder?: string;
 };
 
@@ -25,10 +25,10 @@
 export const benchTeamKey = 'bench-key';
 const weightsBytes = 100_000;
 
-/** Started processes, so that all are ended by their id. */
-type Started = {readonly child: ChildProcess; readonly lines: string[]};
+/** A started process, kept so that it can be stopped by its id, and the lines that it has printed. */
+type StartedProcess = {readonly child: ChildProcess; readonly lines: string[]};
 
-const start = (flags: readonly string[], nodeFlags: readonly string[] = []): Started => {
+const startProcess = (flags: readonly string[], nodeFlags: readonly string[] = []): StartedProcess => {
 	const child = spawn(process.execPath, [...nodeFlags, daemonFile, ...flags], {stdio: ['ignore', 'pipe', 'pipe']});
 	const lines: string[] = [];
 	for (const stream of [child.stdout, child.stderr]) {
@@ -40,7 +40,7 @@
 	return {child, lines};
 };
 
-const lineOf = async ({lines}: Started, pattern: RegExp): Promise<string> => {
+const waitForLine = async ({lines}: StartedProcess, pattern: RegExp): Promise<string> => {
 	let found: string | undefined;
 	await waitUntil(String(pattern), () => {
 		found = lines.map(line => pattern.exec(line)?.[1]).find(match => match !== undefined);
@@ -49,16 +49,16 @@
 	return found!;
 };
 
-const stop = async ({child}: Started): Promise<void> => {
+const stopProcess = async ({child}: StartedProcess): Promise<void> => {
 	if (child.exitCode !== null) {
 		return;
 	}
 
-	const ended = new Promise(resolve => {
+	const exited = new Promise(resolve => {
 		child.once('exit', resolve);
 	});
 	child.kill('SIGTERM');
-	await ended;
+	await exited;
 };
 
 export const createProcessCluster = async ({profileFolder}: ProcessClusterOptions = {}): Promise<ProcessCluster> => {
@@ -67,14 +67,14 @@
 	await writeFile(weightsFile, new Uint8Array(weightsBytes).fill(7));
 	const controls = `c1=${(await freeAddresses(1))[0]}`;
 	const profile = profileFolder === undefined ? [] : ['--cpu-prof', `--cpu-prof-dir=${profileFolder}`];
-	const engine = start(['fake', 'engine']);
-	const origin = start(['fake', 'origin', weightsFile]);
-	const engineAddress = await lineOf(engine, /listens on (\S+)/v);
-	const originAddress = await lineOf(origin, /listens on (\S+)/v);
-	const manifestId = await lineOf(origin, /(sha256:\w+)/v);
-	const control = start(['run', '--roles', 'control', '--host-id', 'c1', '--listen', controls.slice(3), '--controls', controls, '--data-folder', path.join(folder, 'c1')]);
-	const entry = start(['run', '--roles', 'entry', '--host-id', 'e1', '--controls', controls, '--admin-tokens', `administer:${adminToken}`], profile);
-	const agent = start([
+	const engine = startProcess(['fake', 'engine']);
+	const origin = startProcess(['fake', 'origin', weightsFile]);
+	const engineAddress = await waitForLine(engine, /listens on (\S+)/v);
+	const originAddress = await waitForLine(origin, /listens on (\S+)/v);
+	const manifestId = await waitForLine(origin, /(sha256:\w+)/v);
+	const control = startProcess(['run', '--roles', 'control', '--host-id', 'c1', '--listen', controls.slice(3), '--controls', controls, '--data-folder', path.join(folder, 'c1')]);
+	const entry = startProcess(['run', '--roles', 'entry', '--host-id', 'e1', '--controls', controls, '--admin-tokens', `administer:${adminToken}`], profile);
+	const agent = startProcess([
 		'run',
 		'--roles',
 		'agent',
@@ -91,10 +91,10 @@
 		'--capacity',
 		'256',
 	], profile);
-	const entryAddress = await lineOf(entry, /"address":"([^"]+)"/v);
+	const entryAddress = await waitForLine(entry, /"address":"([^"]+)"/v);
 	const admin = {address: entryAddress, token: adminToken};
-	const rowCount = async (line: string): Promise<number> => (await sendLine({...admin, line})).body.rows?.length ?? 0;
-	await waitUntil('the agent joined', async () => await rowCount('show hosts where role = agent') === 1);
+	const countRows = async (line: string): Promise<number> => (await sendLine({...admin, line})).body.rows?.length ?? 0;
+	await waitUntil('the agent has joined', async () => await countRows('show hosts where role = agent') === 1);
 	for (const line of [
 		`create team bench key ${benchTeamKey}`,
 		'create model pitch-desk',
@@ -105,13 +105,13 @@
 		await sendLine({...admin, line});
 	}
 
-	await waitUntil('the replica is ready', async () => await rowCount('show replicas where ready = true') === 1);
+	await waitUntil('the replica is ready', async () => await countRows('show replicas where ready = true') === 1);
 	return {
 		entryAddress, engineAddress,
 		async close() {
-			// An agent says goodbye to control, so control is the last of them.
+			// An agent deregisters from control when it stops, so control stops after it.
 			for (const started of [entry, agent, control, engine, origin]) {
-				await stop(started);
+				await stopProcess(started);
 			}
 
 			await rm(folder, {recursive: true, force: true});
