--- a/packages/bench/src/capacity/definitions.ts
+++ b/packages/bench/src/capacity/definitions.ts
@@ -1,6 +1,6 @@
-/** What a slope is measured over and in; the key is the name that docs/CAPACITY.md quotes. */
+/** The axes of a slope. Its key in `slopeDefinitions` is the name that docs/CAPACITY.md quotes. */
 export type SlopeDefinition = {
-	/** What `x` counts. */
+	/** What `x` counts, in the singular. */
 	readonly per: string;
 	/** Unit of `y`. */
 	readonly unit: string;
@@ -12,21 +12,21 @@
 	'control.watch.memory': {per: 'watching host', unit: 'B private, leader'},
 	'control.change.processor': {per: 'watching host', unit: 'ms of processor a change, leader'},
 	'control.change.bytes': {per: 'watching host', unit: 'B in and out a change, leader'},
-	'control.change.latency': {per: 'watching host', unit: 'ms from order to last host'},
-	'control.fold.processor': {per: 'host watching at a follower', unit: 'ms/s of processor, leader'},
-	'control.fold.bytes': {per: 'host watching at a follower', unit: 'B/s in and out, leader'},
+	'control.change.latency': {per: 'watching host', unit: 'ms from command to last host'},
+	'control.fold.processor': {per: 'host watching a follower', unit: 'ms/s of processor, leader'},
+	'control.fold.bytes': {per: 'host watching a follower', unit: 'B/s in and out, leader'},
 	'control.member.processor': {per: 'other control host', unit: 'ms/s of processor, leader'},
 	'control.member.bytes': {per: 'other control host', unit: 'B/s in and out, leader'},
 	'control.host.memory': {per: 'host in the catalog', unit: 'B of heap'},
 	'control.claim.memory': {per: 'claim', unit: 'B of heap'},
-	'control.result.memory': {per: 'kept result', unit: 'B of heap'},
+	'control.result.memory': {per: 'retained result', unit: 'B of heap'},
 	'control.reconcile.processor': {per: 'host in the catalog', unit: 'ms of processor a round'},
 	'control.snapshot.size': {per: 'host in the catalog', unit: 'B on disk'},
 	'control.snapshot.time': {per: 'host in the catalog', unit: 'ms'},
-	'control.snapshot.stall': {per: 'host in the catalog', unit: 'ms that the loop stands still'},
+	'control.snapshot.stall': {per: 'host in the catalog', unit: 'ms that the event loop is blocked'},
 	'control.restart.time': {per: 'log entry', unit: 'ms'},
 	'control.log.size': {per: 'change', unit: 'B on disk'},
-	'control.log.syncs': {per: 'change, one after the other', unit: 'syncs'},
+	'control.log.syncs': {per: 'change, one at a time', unit: 'syncs'},
 	'control.log.batch': {per: 'change, 64 at a time', unit: 'syncs'},
 	'host.join.processor': {per: 'host in the catalog', unit: 'ms of processor a join'},
 	'host.leave.processor': {per: 'host in the catalog', unit: 'ms of processor a loss'},
--- a/packages/bench/src/capacity/estimate.ts
+++ b/packages/bench/src/capacity/estimate.ts
@@ -1,69 +1,69 @@
 import {claimLimits} from '@bitternpaddle/state';
 import {
-	changesPerSecond, letter, limits, membershipEventsPerSecond, readings, type ReadingName,
+	changesPerSecond, targetDeployment, limits, membershipEventsPerSecond, deploymentVariants, type VariantName,
 } from './letter.js';
 import type {SlopeName} from './definitions.js';
 import type {Slope} from './slope.js';
 
-/** One figure at the letter's size, worked out from slopes. */
+/** One figure for the target deployment, computed from slopes. */
 export type Estimate = {
 	readonly role: 'control leader' | 'control observer' | 'entry' | 'agent';
 	readonly what: string;
 	readonly unit: string;
-	/** `null` where the letter sets none for this role. */
+	/** `null` if the requirements set no limit for this role. */
 	readonly limit: number | null;
-	/** How it was worked out, with the names of the slopes. */
+	/** The formula, with the names of the slopes. */
 	readonly from: string;
-	readonly values: Readonly<Record<ReadingName, number>>;
+	readonly values: Readonly<Record<VariantName, number>>;
 };
 
 export type Slopes = Readonly<Record<SlopeName, Slope>>;
 
-/** Rounds a second in which the leader holds reports against the catalog. */
-const reconcilesPerSecond = 5;
-const tokensPerRequest = letter.tokensPerSecond / letter.requestsPerSecond;
+/** How many times per second the leader reconciles reports with the catalog. */
+const reconciliationsPerSecond = 5;
+const tokensPerRequest = targetDeployment.tokensPerSecond / targetDeployment.requestsPerSecond;
 
 type Size = {
 	readonly agents: number;
 	readonly watchers: number;
-	/** Watching hosts of one control host, spread evenly over all. */
+	/** Watching hosts per control host, distributed evenly over all control hosts. */
 	readonly watchersEach: number;
 	readonly changes: number;
 };
 
-const sizeOf = (name: ReadingName): Size => {
-	const {agents} = readings[name];
-	const watchers = agents + letter.nodes;
+const sizeOf = (name: VariantName): Size => {
+	const {agents} = deploymentVariants[name];
+	const watchers = agents + targetDeployment.nodes;
 	return {
-		agents, watchers, watchersEach: watchers / letter.controlHosts, changes: changesPerSecond(readings[name]),
+		agents, watchers, watchersEach: watchers / targetDeployment.controlHosts, changes: changesPerSecond(deploymentVariants[name]),
 	};
 };
 
-const at = ({slope, intercept}: Slope, x: number): number => intercept + (slope * x);
+const valueAt = ({slope, intercept}: Slope, x: number): number => intercept + (slope * x);
 
-/** Work is never negative: a slope below zero means that the run could not tell it from nothing. */
+/** Clamps a cost to zero: a negative slope means that the cost was too small to be distinguished from zero in the run. */
 const costOf = ({slope}: Slope): number => Math.max(0, slope);
 
 type Rule = Omit<Estimate, 'values'> & {readonly value: (slopes: Slopes, size: Size) => number};
 
-/** Processor time of one host for changes of the catalog, in ms/s on the average of a day. */
-const membershipMs = (slopes: Slopes, {agents}: Size): number => membershipEventsPerSecond
-	* (at(slopes['host.leave.processor'], agents) + at(slopes['host.join.processor'], agents));
+/** CPU time that one host spends on membership changes in the catalog, in ms/s averaged over a day. */
+const membershipMsPerSecond = (slopes: Slopes, {agents}: Size): number => membershipEventsPerSecond
+	* (valueAt(slopes['host.leave.processor'], agents) + valueAt(slopes['host.join.processor'], agents));
 
 const controlRules: readonly Rule[] = [
 	{
 		role: 'control leader', what: 'processor, ordinary second', unit: 'ms/s', limit: null,
 		from: 'member.processor at 16 others + watch.processor × own watchers + fold.processor × all others + 5 × reconcile.processor + change.processor × changes/s',
-		value: (slopes, {agents, watchers, watchersEach, changes}) => at(slopes['control.member.processor'], letter.controlHosts - 1)
+		value: (slopes, {agents, watchers, watchersEach, changes}) => valueAt(slopes['control.member.processor'], targetDeployment.controlHosts - 1)
 			+ (slopes['control.watch.processor'].slope * watchersEach)
 			+ (costOf(slopes['control.fold.processor']) * (watchers - watchersEach))
-			+ (reconcilesPerSecond * at(slopes['control.reconcile.processor'], agents))
+			+ (reconciliationsPerSecond * valueAt(slopes['control.reconcile.processor'], agents))
 			+ (changes * slopes['control.change.processor'].slope * watchersEach),
 	},
 	{
 		role: 'control leader', what: 'bytes', unit: 'KB/s', limit: null,
 		from: 'member.bytes at 16 others + watch.bytes × own watchers + fold.bytes × all others + change.bytes × own watchers × changes/s',
-		value: (slopes, {watchers, watchersEach, changes}) => (at(slopes['control.member.bytes'], letter.controlHosts - 1)
+		value: (slopes, {watchers, watchersEach, changes}) => (valueAt(slopes['control.member.bytes'], targetDeployment.controlHosts - 1)
 			+ (slopes['control.watch.bytes'].slope * watchersEach)
 			+ (slopes['control.fold.bytes'].slope * (watchers - watchersEach))
 			+ (slopes['control.change.bytes'].slope * watchersEach * changes)) / 1024,
@@ -71,7 +71,7 @@
 	{
 		role: 'control leader', what: 'memory: process, watchers, catalog, kept results', unit: 'MB private', limit: null,
 		from: 'watch.memory at own watchers + 2 × host.memory × agents + result.memory × 20,000',
-		value: (slopes, {agents, watchersEach}) => (at(slopes['control.watch.memory'], watchersEach)
+		value: (slopes, {agents, watchersEach}) => (valueAt(slopes['control.watch.memory'], watchersEach)
 			+ (2 * slopes['control.host.memory'].slope * agents) + (slopes['control.result.memory'].slope * 20_000)) / 1024 / 1024,
 	},
 	{
@@ -84,7 +84,7 @@
 	},
 	{
 		role: 'control leader', what: 'stall by a snapshot', unit: 'ms', limit: null, from: 'snapshot.stall at agents',
-		value: (slopes, {agents}) => at(slopes['control.snapshot.stall'], agents),
+		value: (slopes, {agents}) => valueAt(slopes['control.snapshot.stall'], agents),
 	},
 	{
 		role: 'control observer', what: 'processor', unit: 'ms/s', limit: null, from: 'watch.processor × own watchers + change.processor × own watchers × changes/s',
@@ -97,11 +97,11 @@
 	},
 	{
 		role: 'control observer', what: 'a change, from order to its last watcher', unit: 'ms', limit: limits.changeInForceMs, from: 'change.latency at own watchers',
-		value: (slopes, {watchersEach}) => at(slopes['control.change.latency'], watchersEach),
+		value: (slopes, {watchersEach}) => valueAt(slopes['control.change.latency'], watchersEach),
 	},
 ];
 
-const shareOfLost = (share: number) => (slopes: Slopes, {agents}: Size): number => agents / share * at(slopes['host.leave.processor'], agents);
+const lossOfOneIn = (share: number) => (slopes: Slopes, {agents}: Size): number => agents / share * valueAt(slopes['host.leave.processor'], agents);
 
 const hostRules = (role: 'entry' | 'agent'): Rule[] => [
 	{
@@ -109,8 +109,8 @@
 		from: role === 'entry'
 			? 'entry.idle.processor + (host.leave + host.join) × lost or restarted hosts/s + entry.index.processor × changes/s'
 			: 'agent.idle.processor + (host.leave + host.join) × lost or restarted hosts/s',
-		value: (slopes, size) => slopes[`${role}.idle.processor`].slope + membershipMs(slopes, size)
-			+ (role === 'entry' ? size.changes * at(slopes['entry.index.processor'], size.agents) : 0),
+		value: (slopes, size) => slopes[`${role}.idle.processor`].slope + membershipMsPerSecond(slopes, size)
+			+ (role === 'entry' ? size.changes * valueAt(slopes['entry.index.processor'], size.agents) : 0),
 	},
 	{
 		role, what: 'bytes for control', unit: 'KB/s', limit: limits.bytesPerSecond / 1024, from: `${role}.idle.bytes + change.bytes × changes/s`,
@@ -118,57 +118,57 @@
 	},
 	{
 		role, what: 'memory, whole process', unit: 'MB private', limit: limits.memoryBytes / 1024 / 1024, from: `${role}.catalog.memory at agents`,
-		value: (slopes, {agents}) => at(slopes[`${role}.catalog.memory`], agents) / 1024 / 1024,
+		value: (slopes, {agents}) => valueAt(slopes[`${role}.catalog.memory`], agents) / 1024 / 1024,
 	},
 	{
 		role, what: 'catalog on the wire after a restart', unit: 'MB', limit: null, from: 'host.catalog.size at agents',
-		value: (slopes, {agents}) => at(slopes['host.catalog.size'], agents) / 1024 / 1024,
+		value: (slopes, {agents}) => valueAt(slopes['host.catalog.size'], agents) / 1024 / 1024,
 	},
 	{
-		role, what: 'burst: a zone is lost', unit: 'ms of processor', limit: limits.changeInForceMs, from: 'host.leave.processor × agents / 31', value: shareOfLost(letter.zones),
+		role, what: 'burst: a zone is lost', unit: 'ms of processor', limit: limits.changeInForceMs, from: 'host.leave.processor × agents / 31', value: lossOfOneIn(targetDeployment.zones),
 	},
 	{
-		role, what: 'burst: a region is cut off', unit: 'ms of processor', limit: limits.changeInForceMs, from: 'host.leave.processor × agents / 9', value: shareOfLost(letter.regions),
+		role, what: 'burst: a region is cut off', unit: 'ms of processor', limit: limits.changeInForceMs, from: 'host.leave.processor × agents / 9', value: lossOfOneIn(targetDeployment.regions),
 	},
 	{
 		role, what: 'burst: first load of a fleet of all', unit: 'ms of processor', limit: limits.changeInForceMs, from: 'host.load.processor at agents²',
-		value: (slopes, {agents}) => at(slopes['host.load.processor'], (agents / 1000) ** 2),
+		value: (slopes, {agents}) => valueAt(slopes['host.load.processor'], (agents / 1000) ** 2),
 	},
 	{
 		role, what: 'requests: processor', unit: '% of a core', limit: 100, from: `${role}.stream.processor at ${tokensPerRequest} tokens × requests/s a process`,
-		value: (slopes, {agents}) => at(slopes[`${role}.stream.processor`], tokensPerRequest) * letter.requestsPerSecond / (role === 'entry' ? letter.nodes : agents) / 10,
+		value: (slopes, {agents}) => valueAt(slopes[`${role}.stream.processor`], tokensPerRequest) * targetDeployment.requestsPerSecond / (role === 'entry' ? targetDeployment.nodes : agents) / 10,
 	},
 	{
 		role, what: 'requests: bytes in and out', unit: 'KB/s', limit: null, from: `${role}.stream.bytes at ${tokensPerRequest} tokens × requests/s a process`,
-		value: (slopes, {agents}) => at(slopes[`${role}.stream.bytes`], tokensPerRequest) * letter.requestsPerSecond / (role === 'entry' ? letter.nodes : agents) / 1024,
+		value: (slopes, {agents}) => valueAt(slopes[`${role}.stream.bytes`], tokensPerRequest) * targetDeployment.requestsPerSecond / (role === 'entry' ? targetDeployment.nodes : agents) / 1024,
 	},
 ];
 
-const thousandTokensPerEntry = letter.tokensPerSecond / letter.nodes / 1000;
+const thousandTokensPerEntry = targetDeployment.tokensPerSecond / targetDeployment.nodes / 1000;
 
-/** The agents' part of the way is in them. */
+/** Includes the agents' part of the path. */
 const tokenRules: readonly Rule[] = [
 	{
 		role: 'entry', what: 'tokens: processor at a node\'s share', unit: '% of a core', limit: 100, from: 'entry.tokens.processor at tokens/s an entry',
-		value: slopes => at(slopes['entry.tokens.processor'], thousandTokensPerEntry),
+		value: slopes => valueAt(slopes['entry.tokens.processor'], thousandTokensPerEntry),
 	},
 	{
 		role: 'entry', what: 'tokens: added to the first token, 95 in 100', unit: 'ms', limit: limits.firstTokenMs, from: 'entry.tokens.first at tokens/s an entry',
-		value: slopes => at(slopes['entry.tokens.first'], thousandTokensPerEntry),
+		value: slopes => valueAt(slopes['entry.tokens.first'], thousandTokensPerEntry),
 	},
 	{
 		role: 'entry', what: 'tokens: between two, 95 in 100, engine at 20 ms', unit: 'ms', limit: limits.tokenGapMs, from: 'entry.tokens.gap at tokens/s an entry',
-		value: slopes => at(slopes['entry.tokens.gap'], thousandTokensPerEntry),
+		value: slopes => valueAt(slopes['entry.tokens.gap'], thousandTokensPerEntry),
 	},
 ];
 
-/** Chunks in each gigabyte of weights, at the size of chunk that manifests have. */
+/** Chunks per gigabyte of weights, at the chunk size that manifests use. */
 const chunksPerGigabyte = 256;
 
 const swarmRules: readonly Rule[] = [
 	{
 		role: 'agent', what: 'weights: announcements sent for each GB', unit: 'messages', limit: null, from: 'swarm.have.messages at 8 neighbours × 256 chunks',
-		value: slopes => at(slopes['swarm.have.messages'], 8) * chunksPerGigabyte,
+		value: slopes => valueAt(slopes['swarm.have.messages'], 8) * chunksPerGigabyte,
 	},
 	{
 		role: 'agent', what: 'weights: what 16 neighbours hold, for each GB', unit: 'KB of heap', limit: null, from: 'swarm.have.memory × 16 × 256',
@@ -180,11 +180,11 @@
 	},
 	{
 		role: 'agent', what: 'weights: choosing the chunks of 10 GB', unit: 'ms of processor', limit: null, from: 'swarm.store.processor at 2,560 chunks × 2,560',
-		value: slopes => at(slopes['swarm.store.processor'], 10 * chunksPerGigabyte) * 10 * chunksPerGigabyte,
+		value: slopes => valueAt(slopes['swarm.store.processor'], 10 * chunksPerGigabyte) * 10 * chunksPerGigabyte,
 	},
 	{
 		role: 'agent', what: 'weights: each change of the catalog during a transfer of 10 GB to 1,500 hosts', unit: 'ms of processor', limit: null, from: 'swarm.peers.processor at 2,560 chunks',
-		value: slopes => at(slopes['swarm.peers.processor'], 10 * chunksPerGigabyte),
+		value: slopes => valueAt(slopes['swarm.peers.processor'], 10 * chunksPerGigabyte),
 	},
 ];
 
--- a/packages/bench/src/capacity/fake-control.ts
+++ b/packages/bench/src/capacity/fake-control.ts
@@ -6,17 +6,17 @@
 
 export type FakeControl = {
 	readonly address: string;
-	/** Last report of each host that asked. */
+	/** The most recent report of each host that sent a watch request. */
 	readonly reports: ReadonlyMap<string, HostReport>;
 	close(): Promise<void>;
 };
 
 export type FakeControlOptions = {
-	/** What every host is given; read at each call. */
+	/** Returns the catalog that every host receives; called for each watch request. */
 	readonly catalog: () => Catalog;
 };
 
-/** Answers watches as a control host with an unchanging catalog does, so that one entry or agent can be measured alone. */
+/** Answers watch requests like a control host whose catalog does not change, so that one entry or agent can be measured in isolation. */
 export const createFakeControl = async ({catalog}: FakeControlOptions): Promise<FakeControl> => {
 	const reports = new Map<string, HostReport>();
 	const rpc = createRpcServer();
@@ -27,11 +27,11 @@
 		}
 
 		reports.set(hostId, {...last, revision});
-		const given = catalog();
-		const shared = {revision: given.revision, digest: given.digest, leaseMs: leaseTimes.hostLeaseMs};
-		if (revision !== given.revision) {
+		const current = catalog();
+		const shared = {revision: current.revision, digest: current.digest, leaseMs: leaseTimes.hostLeaseMs};
+		if (revision !== current.revision) {
 			return {
-				type: 'snapshot', catalog: await encodeCatalog(given), changes: [], ...shared,
+				type: 'snapshot', catalog: await encodeCatalog(current), changes: [], ...shared,
 			};
 		}
 
--- a/packages/bench/src/capacity/heap.ts
+++ b/packages/bench/src/capacity/heap.ts
@@ -6,25 +6,25 @@
 setFlagsFromString('--expose-gc');
 const collectGarbage = runInNewContext('gc') as () => void;
 
-/** Heap that `create`'s result holds on to. */
+/** Returns the heap bytes that the result of `create` retains. */
 export const heapBytesOf = (create: () => unknown): number => {
 	collectGarbage();
 	const before = process.memoryUsage().heapUsed;
-	const held = create();
+	const retained = create();
 	collectGarbage();
 	const after = process.memoryUsage().heapUsed;
-	// The result must be reachable until after the second reading.
-	return held === undefined ? 0 : after - before;
+	// The result must stay reachable until the second measurement is done.
+	return retained === undefined ? 0 : after - before;
 };
 
-/** Time of one synchronous call: the median of `times`, so that another program's burst does not bend a line. */
+/** Returns the median duration of `times` synchronous calls; the median keeps load spikes of other programs from distorting a fitted line. */
 export const millisecondsOf = (work: () => unknown, times: number): number => {
-	const tookMs: number[] = [];
+	const durationsMs: number[] = [];
 	for (let index = 0; index < times; index++) {
 		const startedAtMs = performance.now();
 		work();
-		tookMs.push(performance.now() - startedAtMs);
+		durationsMs.push(performance.now() - startedAtMs);
 	}
 
-	return median(tookMs);
+	return median(durationsMs);
 };
--- a/packages/bench/src/capacity/letter.ts
+++ b/packages/bench/src/capacity/letter.ts
@@ -1,5 +1,5 @@
-/** The size that the users' first letter gives, and what follows from it by division. */
-export const letter = {
+/** Size of the deployment that the system is designed for, as its users specified it. */
+export const targetDeployment = {
 	nodes: 330,
 	workers: 12_000,
 	endpointHosts: 1500,
@@ -11,11 +11,11 @@
 	restartedHostsPerDay: 2100,
 	requestsPerSecond: 8000,
 	tokensPerSecond: 2_900_000,
-	/** "Several times a day"; the letter gives no number. */
+	/** The users specified "several times a day" without a number. */
 	loadsPerDay: 6,
 } as const;
 
-/** What a node that is not set aside may spend on control. */
+/** What a node that also does other work may spend on control, and the users' latency limits. */
 export const limits = {
 	/** 1.4% of a core. */
 	processorMsPerSecond: 14,
@@ -27,27 +27,28 @@
 } as const;
 
 /**
- * Two ways to read "330 nodes before 12,000 workers". In both the 330 are the
- * entries. The slot beside "each endpoint host" is one agent for the eight
- * workers of a host, or, as the program is today, one agent for each worker.
+ * Two interpretations of the specified "330 nodes before 12,000 workers". In both,
+ * the 330 nodes are the entries. The agent beside "each endpoint host" is either one
+ * agent for the eight workers of a host or, as currently implemented, one agent per
+ * worker.
  */
-export const readings = {
-	'agent per host': {agents: letter.endpointHosts},
-	'agent per worker': {agents: letter.workers},
+export const deploymentVariants = {
+	'agent per host': {agents: targetDeployment.endpointHosts},
+	'agent per worker': {agents: targetDeployment.workers},
 } as const;
 
-export type ReadingName = keyof typeof readings;
+export type VariantName = keyof typeof deploymentVariants;
 
 const secondsPerDay = 86_400;
 
-/** Log entries a day: configuration, and for each lost or restarted host that it left, joined and is ready. */
-export const changesPerDay = ({agents}: {readonly agents: number}): number => letter.configurationChangesPerDay
+/** Log entries per day: configuration changes, loads, and three entries (left, joined, ready) for each lost or restarted host. */
+export const changesPerDay = ({agents}: {readonly agents: number}): number => targetDeployment.configurationChangesPerDay
 	+ (3 * membershipEventsPerDay)
-	// Readiness is taken together five times a second; in a load of five minutes that is 1,500 changes at most.
-	+ (letter.loadsPerDay * Math.min(agents, 1500));
+	// Readiness changes are batched five times per second, which makes at most 1,500 changes in a load of five minutes.
+	+ (targetDeployment.loadsPerDay * Math.min(agents, 1500));
 
-export const membershipEventsPerDay = letter.failedHostsPerDay + letter.restartedHostsPerDay;
+export const membershipEventsPerDay = targetDeployment.failedHostsPerDay + targetDeployment.restartedHostsPerDay;
 
-export const changesPerSecond = (reading: {readonly agents: number}): number => changesPerDay(reading) / secondsPerDay;
+export const changesPerSecond = (variant: {readonly agents: number}): number => changesPerDay(variant) / secondsPerDay;
 
 export const membershipEventsPerSecond = membershipEventsPerDay / secondsPerDay;
--- a/packages/bench/src/capacity/loop-stall.ts
+++ b/packages/bench/src/capacity/loop-stall.ts
@@ -1,20 +1,20 @@
-/** The longest time for which `work` let nothing else run. */
-export const longestStallMs = async (work: () => Promise<unknown>): Promise<number> => {
-	let longestMs = 0;
+/** Returns the longest time for which `work` blocked the event loop. */
+export const measureMaxStallMs = async (work: () => Promise<unknown>): Promise<number> => {
+	let maxStallMs = 0;
 	let lastMs = performance.now();
-	let isDone = false;
-	const watch = (): void => {
+	let isFinished = false;
+	const checkStall = (): void => {
 		const nowMs = performance.now();
-		longestMs = Math.max(longestMs, nowMs - lastMs);
+		maxStallMs = Math.max(maxStallMs, nowMs - lastMs);
 		lastMs = nowMs;
-		if (!isDone) {
-			setImmediate(watch);
+		if (!isFinished) {
+			setImmediate(checkStall);
 		}
 	};
 
-	watch();
+	checkStall();
 	await work();
-	isDone = true;
-	watch();
-	return longestMs;
+	isFinished = true;
+	checkStall();
+	return maxStallMs;
 };
--- a/packages/bench/src/capacity/measure-capacity.ts
+++ b/packages/bench/src/capacity/measure-capacity.ts
@@ -11,22 +11,22 @@
 import {measureSwarm} from './measure-swarm.js';
 import {measureTokens} from './measure-tokens.js';
 import {
-	estimateTable, memoryTable, renewSection, slopeTable, tokenSection,
+	estimateTable, memoryTable, replaceSection, slopeTable, tokenSection,
 } from './page.js';
 import {fitSlope, type Slope} from './slope.js';
 
-/** Points of lines, and the page's section for those groups that have one besides. */
+/** Measured points, and the additional section of the page for groups that have one. */
 type GroupResult = {readonly measured: Measured; readonly section?: {readonly name: string; readonly text: string}};
 
-const linesOf = (measure: () => Promise<Measured>) => async (): Promise<GroupResult> => ({measured: await measure()});
+const withoutSection = (measure: () => Promise<Measured>) => async (): Promise<GroupResult> => ({measured: await measure()});
 
 const groups = {
-	state: linesOf(measureState),
-	log: linesOf(measureLogSyncs),
-	swarm: linesOf(measureSwarm),
-	control: linesOf(measureControl),
-	hosts: linesOf(measureHosts),
-	streams: linesOf(measureStreams),
+	state: withoutSection(measureState),
+	log: withoutSection(measureLogSyncs),
+	swarm: withoutSection(measureSwarm),
+	control: withoutSection(measureControl),
+	hosts: withoutSection(measureHosts),
+	streams: withoutSection(measureStreams),
 	async tokens() {
 		const {rows, measured} = await measureTokens();
 		return {measured, section: {name: 'tokens', text: tokenSection(rows)}};
@@ -37,10 +37,10 @@
 
 const groupNames = Object.keys(groups) as GroupName[];
 
-const wantedGroups = (names: readonly string[]): GroupName[] => {
+const selectGroups = (names: readonly string[]): GroupName[] => {
 	const unknown = names.filter(name => !groupNames.includes(name as GroupName));
 	if (unknown.length > 0) {
-		throw new Error(`unknown group ${unknown.join(', ')}: expected some of ${groupNames.join(', ')}`);
+		throw new Error(`unknown group ${unknown.join(', ')}: expected any of ${groupNames.join(', ')}`);
 	}
 
 	return names.length === 0 ? groupNames : names as GroupName[];
@@ -50,12 +50,12 @@
 	process.stdout.write(`${text}\n\n`);
 };
 
-type Run = {readonly slopes: Partial<Slopes>; readonly sections: Map<string, string>};
+type GroupsRun = {readonly slopes: Partial<Slopes>; readonly sections: Map<string, string>};
 
-const runGroups = async (wanted: readonly GroupName[]): Promise<Run> => {
+const runGroups = async (selected: readonly GroupName[]): Promise<GroupsRun> => {
 	const slopes: Partial<Record<SlopeName, Slope>> = {};
 	const sections = new Map<string, string>();
-	for (const group of wanted) {
+	for (const group of selected) {
 		const startedAtMs = performance.now();
 		const {measured, section}: GroupResult = await groups[group]();
 		if (section !== undefined) {
@@ -72,28 +72,29 @@
 	return {slopes, sections};
 };
 
-const isWhole = (slopes: Partial<Slopes>): slopes is Slopes => slopeNames.every(name => name in slopes);
+const isComplete = (slopes: Partial<Slopes>): slopes is Slopes => slopeNames.every(name => name in slopes);
 
 /**
- * Slopes and what follows from them at the letter's size, for
- * docs/CAPACITY.md: `npm run bench -- capacity [GROUP...]`. All groups without
- * a group. `--page FILE --commit ID` renews the generated sections of the page.
+ * Measures slopes and computes estimates for the target deployment, for
+ * docs/CAPACITY.md: `npm run bench -- capacity [GROUP...]`. Without GROUP, all groups
+ * are measured. `--page FILE --commit ID` regenerates the generated sections of the
+ * page.
  */
 export const measureCapacity = async (flags: readonly string[]): Promise<Record<string, unknown>> => {
 	const {values: {page, commit}, positionals} = parseArgs({
 		args: [...flags], allowPositionals: true, options: {page: {type: 'string'}, commit: {type: 'string', default: 'not given'}},
 	});
-	const wanted = wantedGroups(positionals);
-	if (page !== undefined && wanted.length < groupNames.length) {
-		throw new Error('--page needs all groups: a page of two runs would mix two states of the program');
+	const selected = selectGroups(positionals);
+	if (page !== undefined && selected.length < groupNames.length) {
+		throw new Error('--page requires all groups: sections from different runs would mix versions of the program');
 	}
 
-	const {slopes, sections} = await runGroups(wanted);
+	const {slopes, sections} = await runGroups(selected);
 	const memory = await measureIdleMemory();
 	print(memoryTable(memory));
-	if (!isWhole(slopes)) {
+	if (!isComplete(slopes)) {
 		return {
-			bench: 'capacity', groups: wanted, slopes, memory,
+			bench: 'capacity', groups: selected, slopes, memory,
 		};
 	}
 
@@ -102,17 +103,17 @@
 	if (page !== undefined) {
 		const run = `\`npm run bench -- capacity\` at commit ${commit}, Node ${process.version}.`;
 		let text = await readFile(page, 'utf8');
-		text = renewSection(text, 'slopes', `${run}\n\n${slopeTable(slopes)}`);
-		text = renewSection(text, 'memory', memoryTable(memory));
-		text = renewSection(text, 'estimates', estimateTable(estimates));
+		text = replaceSection(text, 'slopes', `${run}\n\n${slopeTable(slopes)}`);
+		text = replaceSection(text, 'memory', memoryTable(memory));
+		text = replaceSection(text, 'estimates', estimateTable(estimates));
 		for (const [name, section] of sections) {
-			text = renewSection(text, name, section);
+			text = replaceSection(text, name, section);
 		}
 
 		await writeFile(page, text);
 	}
 
 	return {
-		bench: 'capacity', groups: wanted, commit, slopes, memory, estimates,
+		bench: 'capacity', groups: selected, commit, slopes, memory, estimates,
 	};
 };
--- a/packages/bench/src/capacity/measure-control.ts
+++ b/packages/bench/src/capacity/measure-control.ts
@@ -4,10 +4,10 @@
 import {silentLogger} from '@bitternpaddle/transport';
 import {median} from 'simple-statistics';
 import type {SlopeName} from './definitions.js';
-import {withFolder, type Measured} from './measure-state.js';
-import {readMemory, usageBetween, type ProcessUsage} from './process-usage.js';
+import {withTemporaryFolder, type Measured} from './measure-state.js';
+import {readMemory, measureUsage, type ProcessUsage} from './process-usage.js';
 import {
-	patienceMs, startControls, type ControlProcess, type Controls,
+	startupTimeoutMs, startControls, type ControlProcess, type Controls,
 } from './start-controls.js';
 import {sampleAnnouncement} from './sample-state.js';
 import type {Point} from './slope.js';
@@ -17,12 +17,12 @@
 const memberCounts = [3, 5, 9, 17] as const;
 const idleMs = 8000;
 const changes = 40;
-const changeGapMs = 50;
-const orderTries = 100;
+const changeIntervalMs = 50;
+const maxSubmitAttempts = 100;
 
 type Watcher = {readonly client: ConfigurationClient; leave(): void};
 
-/** A watching host as the daemon has it, without its endpoint. It says goodbye, since hosts that fall silent are taken out only a few a minute. */
+/** Starts the daemon's watch client for one host, without an endpoint. It leaves explicitly, because control removes only a few silent hosts per minute. */
 const startWatcher = (number: number, address: string): Watcher => {
 	const announcement = sampleAnnouncement(number);
 	let isLeaving = false;
@@ -41,44 +41,44 @@
 	};
 };
 
-/** Resent under its id while control has no leader: on a busy machine it may lose its lease for a moment. */
-const order = async (client: ConfigurationClient, command: Command): Promise<number> => {
-	for (let left = orderTries; ; left--) {
+/** Submits a command and resends it under the same id while control has no leader, which can lose its lease for a moment on a busy machine. */
+const submitCommand = async (client: ConfigurationClient, command: Command): Promise<number> => {
+	for (let left = maxSubmitAttempts; ; left--) {
 		const result = await client.propose(command).catch(() => null);
 		if (result?.type === 'accepted') {
 			return result.revision;
 		}
 
 		if (left === 0) {
-			throw new Error(`the change was ${result?.type ?? 'not answered'}`);
+			throw new Error(`the command was not accepted: ${result?.type ?? 'no response'}`);
 		}
 
-		await delay(changeGapMs);
+		await delay(changeIntervalMs);
 	}
 };
 
-/** Orders changes one after the other; gives the time from order to the last watcher, the median of all. */
+/** Submits changes one after the other and returns the median time from the command until it has reached the last watcher. */
 const measureChanges = async (clients: readonly ConfigurationClient[], firstNumber: number): Promise<number> => {
 	const latenciesMs: number[] = [];
 	for (let index = 0; index < changes; index++) {
 		const startedAtMs = performance.now();
-		const revision = await order(clients[0]!, commandSchema.parse({
+		const revision = await submitCommand(clients[0]!, commandSchema.parse({
 			commandId: `change-${firstNumber + index}`, ifRevision: null, change: {type: 'createModel', modelId: `model-${firstNumber + index}`},
 		}));
 		await Promise.all(clients.map(async client => client.reach(revision, 10_000)));
 		latenciesMs.push(performance.now() - startedAtMs);
-		await delay(changeGapMs);
+		await delay(changeIntervalMs);
 	}
 
 	return median(latenciesMs);
 };
 
 /**
- * Lets all watching hosts join, waits until the code is warm, and measures
- * while their number falls. The other way round the later, larger counts would
- * be measured on faster code, and the slope would come out too small.
+ * Lets all watching hosts join, waits for the code to warm up, and measures while
+ * their number decreases. In increasing order the later, larger counts would be
+ * measured on better optimized code, and the slope would be too small.
  */
-const withWatchers = async (address: string, measure: (clients: readonly ConfigurationClient[]) => Promise<void>): Promise<void> => {
+const measureWithWatchers = async (address: string, measure: (clients: readonly ConfigurationClient[]) => Promise<void>): Promise<void> => {
 	const watchers = Array.from({length: Math.max(...watcherCounts)}, (_, index) => startWatcher(index, address));
 	try {
 		for (const count of watcherCounts) {
@@ -87,7 +87,7 @@
 			}
 
 			const clients = watchers.slice(0, count).map(({client}) => client);
-			await waitUntil(`${count} hosts are known`, async () => clients.every(client => Object.keys(client.catalog().hosts).length === count), {timeoutMs: patienceMs});
+			await waitUntil(`${count} hosts have joined`, async () => clients.every(client => Object.keys(client.catalog().hosts).length === count), {timeoutMs: startupTimeoutMs});
 			for (const {client} of watchers.splice(count)) {
 				client.close();
 			}
@@ -102,27 +102,27 @@
 	}
 };
 
-/** Use a second while nothing changes. */
-const idleUse = async ({pid}: ControlProcess): Promise<ProcessUsage> => {
-	const {processorMs, transferBytes} = await usageBetween(pid, async () => delay(idleMs));
+/** Usage per second while nothing changes. */
+const measureIdleUsage = async ({pid}: ControlProcess): Promise<ProcessUsage> => {
+	const {processorMs, transferBytes} = await measureUsage(pid, async () => delay(idleMs));
 	return {processorMs: processorMs / idleMs * 1000, transferBytes: transferBytes / idleMs * 1000};
 };
 
 /**
- * Hosts watch at the leader. All share this process: the latency
- * to the last of them includes the time that it needs for all. Changes come so
- * close that no host's wait runs out between them: each change costs one
- * renewal by each host, and nothing is taken off for idle renewals.
+ * Measures hosts that watch the leader. All of them run in this process, so the latency to
+ * the last one includes the time that this process needs for all. Changes follow each
+ * other so closely that no host's long poll expires between them: each change costs
+ * one renewal per host, and no idle renewals need to be subtracted.
  */
 const measureLeader = async ({leader}: Controls, lines: Lines): Promise<void> => {
-	await withWatchers(leader.address, async clients => {
+	await measureWithWatchers(leader.address, async clients => {
 		const x = clients.length;
-		const idle = await idleUse(leader);
+		const idle = await measureIdleUsage(leader);
 		lines['control.watch.processor'].push({x, y: idle.processorMs});
 		lines['control.watch.bytes'].push({x, y: idle.transferBytes});
 		lines['control.watch.memory'].push({x, y: (await readMemory(leader.pid)).privateBytes});
 		let latencyMs = 0;
-		const busy = await usageBetween(leader.pid, async () => {
+		const busy = await measureUsage(leader.pid, async () => {
 			latencyMs = await measureChanges(clients, x * 100);
 		});
 		lines['control.change.processor'].push({x, y: busy.processorMs / changes});
@@ -131,10 +131,10 @@
 	});
 };
 
-/** The hosts watch at a follower, which folds what they report into messages to the leader. */
-const measureFold = async ({leader, followers}: Controls, lines: Lines): Promise<void> => withWatchers(followers[0]!.address, async clients => {
+/** Measures hosts that watch a follower, which aggregates their reports into messages to the leader. */
+const measureAggregation = async ({leader, followers}: Controls, lines: Lines): Promise<void> => measureWithWatchers(followers[0]!.address, async clients => {
 	const x = clients.length;
-	const idle = await idleUse(leader);
+	const idle = await measureIdleUsage(leader);
 	lines['control.fold.processor'].push({x, y: idle.processorMs});
 	lines['control.fold.bytes'].push({x, y: idle.transferBytes});
 });
@@ -154,34 +154,34 @@
 
 type Lines = Record<typeof controlSlopes[number], Point[]>;
 
-/** What the leader spends on each further member while nothing happens: heartbeats and their answers. */
+/** Measures what each further member costs the leader while idle: heartbeats and their responses. */
 const measureMembers = async (lines: Lines): Promise<void> => {
 	for (const count of memberCounts) {
-		await withFolder(async folder => {
+		await withTemporaryFolder(async folder => {
 			const controls = await startControls(folder, count);
 			try {
 				await delay(2000);
-				const idle = await idleUse(controls.leader);
+				const idle = await measureIdleUsage(controls.leader);
 				lines['control.member.processor'].push({x: count - 1, y: idle.processorMs});
 				lines['control.member.bytes'].push({x: count - 1, y: idle.transferBytes});
 			} finally {
-				await controls.end();
+				await controls.terminate();
 			}
 		});
 	}
 };
 
-/** Slopes of real control processes, one cluster for each part. */
+/** Measures slopes of real control processes, with a separate cluster for each part. */
 export const measureControl = async (): Promise<Measured> => {
 	const lines = Object.fromEntries(controlSlopes.map(name => [name, [] as Point[]])) as Lines;
 	await measureMembers(lines);
-	for (const measure of [measureLeader, measureFold]) {
-		await withFolder(async folder => {
+	for (const measure of [measureLeader, measureAggregation]) {
+		await withTemporaryFolder(async folder => {
 			const controls = await startControls(folder);
 			try {
 				await measure(controls, lines);
 			} finally {
-				await controls.end();
+				await controls.terminate();
 			}
 		});
 	}
--- a/packages/bench/src/capacity/measure-host.ts
+++ b/packages/bench/src/capacity/measure-host.ts
@@ -2,9 +2,9 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {waitUntil} from '@bitternpaddle/daemon';
 import {createFakeControl} from './fake-control.js';
-import {hostCounts, withFolder, type Measured} from './measure-state.js';
+import {hostCounts, withTemporaryFolder, type Measured} from './measure-state.js';
 import {
-	readMemory, usageBetween, type ProcessMemory,
+	readMemory, measureUsage, type ProcessMemory,
 } from './process-usage.js';
 import {startDaemon, startEmptyNode, type DaemonProcess} from './processes.js';
 import {createSampleState} from './sample-state.js';
@@ -12,7 +12,7 @@
 
 export type HostRole = 'entry' | 'agent';
 
-/** Memory of one idle process, for the page's table of memory. */
+/** Memory of idle processes, for the memory table of the page. */
 export type IdleMemory = {readonly emptyNode: ProcessMemory} & Record<HostRole | 'control', ProcessMemory>;
 
 export const startHost = (role: HostRole, controlAddress: string, folder: string): DaemonProcess => startDaemon({
@@ -20,38 +20,38 @@
 	...(role === 'agent' ? {endpoint: '127.0.0.1:9', origin: '127.0.0.1:9'} : {'admin-tokens': 'administer:bench-token'}),
 });
 
-/** V8 gives memory back by a last collection that it starts some 8 s after the work; before that the figures are those of garbage. */
-const settleMs = 24_000;
+/** V8 returns memory in a final garbage collection that it starts about 8 s after the work; earlier measurements would include garbage. */
+const garbageCollectionMs = 24_000;
 
-/** Private memory after a host took over a catalog of `hosts`. */
-const memoryWith = async (role: HostRole, hosts: number): Promise<ProcessMemory> => withFolder(async folder => {
+/** Returns the memory of a host process that has received a catalog of `hosts` hosts. */
+const measureMemory = async (role: HostRole, hosts: number): Promise<ProcessMemory> => withTemporaryFolder(async folder => {
 	const {catalog} = createSampleState(hosts);
 	const control = await createFakeControl({catalog: () => catalog});
 	const host = startHost(role, control.address, folder);
 	try {
 		await waitUntil(`${role} took the catalog`, async () => control.reports.get(`measured-${role}`)?.revision === catalog.revision);
-		await delay(settleMs);
+		await delay(garbageCollectionMs);
 		return await readMemory(host.pid);
 	} finally {
-		await host.end();
+		await host.terminate();
 		await control.close();
 	}
 });
 
-/** What an idle host uses over some seconds. */
-const measureIdle = async (role: HostRole): Promise<{processor: Point[]; bytes: Point[]}> => withFolder(async folder => {
+/** Measures the accumulated CPU time and traffic of an idle host over ten seconds. */
+const measureIdle = async (role: HostRole): Promise<{processor: Point[]; bytes: Point[]}> => withTemporaryFolder(async folder => {
 	const {catalog} = createSampleState(hostCounts[0]);
 	const control = await createFakeControl({catalog: () => catalog});
 	const host = startHost(role, control.address, folder);
 	try {
 		await waitUntil(`${role} took the catalog`, async () => control.reports.get(`measured-${role}`)?.revision === catalog.revision);
-		await delay(settleMs);
+		await delay(garbageCollectionMs);
 		const processor: Point[] = [];
 		const bytes: Point[] = [];
 		let processorMs = 0;
 		let transferBytes = 0;
 		for (const x of [2, 4, 6, 8, 10]) {
-			const usage = await usageBetween(host.pid, async () => delay(2000));
+			const usage = await measureUsage(host.pid, async () => delay(2000));
 			processorMs += usage.processorMs;
 			transferBytes += usage.transferBytes;
 			processor.push({x, y: processorMs});
@@ -60,36 +60,36 @@
 
 		return {processor, bytes};
 	} finally {
-		await host.end();
+		await host.terminate();
 		await control.close();
 	}
 });
 
-/** Entry and agent processes alone: idle, and with a catalog of the letter's size. */
+/** Measures entry and agent processes in isolation: idle usage, and memory by the size of the catalog up to that of the target deployment. */
 export const measureHosts = async (): Promise<Measured> => {
 	const lines: Measured = {};
 	await Promise.all((['entry', 'agent'] as const).map(async role => {
 		const {processor, bytes} = await measureIdle(role);
 		lines[`${role}.idle.processor`] = processor;
 		lines[`${role}.idle.bytes`] = bytes;
-		lines[`${role}.catalog.memory`] = await Promise.all(hostCounts.map(async x => ({x, y: (await memoryWith(role, x)).privateBytes})));
+		lines[`${role}.catalog.memory`] = await Promise.all(hostCounts.map(async x => ({x, y: (await measureMemory(role, x)).privateBytes})));
 	}));
 	return lines;
 };
 
-/** Processes with next to nothing to hold, beside an empty Node process. */
-export const measureIdleMemory = async (): Promise<IdleMemory> => withFolder(async folder => {
+/** Measures processes with an almost empty catalog, and an empty Node process for comparison. */
+export const measureIdleMemory = async (): Promise<IdleMemory> => withTemporaryFolder(async folder => {
 	const empty = startEmptyNode();
 	const control = startDaemon({
 		roles: 'control', 'host-id': 'c1', controls: 'c1=127.0.0.1:9', 'data-folder': path.join(folder, 'control'),
 	});
 	try {
-		const [entry, agent] = await Promise.all([memoryWith('entry', 1), memoryWith('agent', 1)]);
+		const [entry, agent] = await Promise.all([measureMemory('entry', 1), measureMemory('agent', 1)]);
 		return {
 			emptyNode: await readMemory(empty.pid), control: await readMemory(control.pid), entry, agent,
 		};
 	} finally {
-		await empty.end();
-		await control.end();
+		await empty.terminate();
+		await control.terminate();
 	}
 });
--- a/packages/bench/src/capacity/measure-log-syncs.ts
+++ b/packages/bench/src/capacity/measure-log-syncs.ts
@@ -1,16 +1,16 @@
 import {createConsensusDriver, type ConsensusDriver} from '@bitternpaddle/daemon';
 import {commandSchema, openLogStore, type LogEntry} from '@bitternpaddle/state';
-import {withFolder, type Measured} from './measure-state.js';
+import {withTemporaryFolder, type Measured} from './measure-state.js';
 import type {Point} from './slope.js';
 
 const counts = [64, 128, 256, 512] as const;
 const batchSize = 64;
 
-const payloadNumber = (number: number): LogEntry['payload'] => ({
+const createPayload = (number: number): LogEntry['payload'] => ({
 	type: 'command', command: commandSchema.parse({commandId: `command-${number}`, ifRevision: null, change: {type: 'createModel', modelId: `model-${number}`}}),
 });
 
-/** Resolves waits once a count is reached. */
+/** Creates a counter whose `reach` resolves once the count has reached a target. */
 const createCounter = () => {
 	let count = 0;
 	let waiting: {readonly target: number; resolve(): void} | null = null;
@@ -32,15 +32,15 @@
 	};
 };
 
-/** Proposes `count` changes to one real voter, `concurrency` at a time, and counts the syncs. */
-const countSyncs = async (count: number, concurrency: number): Promise<number> => withFolder(async folder => {
+/** Proposes `count` changes to a single voter, `concurrency` at a time, and returns the number of log syncs. */
+const countSyncs = async (count: number, concurrency: number): Promise<number> => withTemporaryFolder(async folder => {
 	const store = await openLogStore({folder});
 	const committed = createCounter();
-	const led = createCounter();
+	const leaderships = createCounter();
 	const driver: ConsensusDriver = createConsensusDriver({
 		selfId: 'c1', initialMembers: {voters: ['c1'], learners: []}, store, seed: 1,
 		send() {
-			throw new Error('a single voter has nobody to send to');
+			throw new Error('a single voter must not send messages');
 		},
 		onCommit({payload}) {
 			if (payload.type === 'command' && payload.command.change.type === 'createModel') {
@@ -48,25 +48,25 @@
 			}
 		},
 		onSnapshot() {
-			throw new Error('no snapshot was expected');
+			throw new Error('unexpected snapshot');
 		},
 		onRoleChange({role}) {
 			if (role === 'leader') {
-				led.add();
+				leaderships.add();
 			}
 		},
 		onFailure(error) {
 			throw error;
 		},
 	});
-	await led.reach(1);
-	// The term's first entry is synced before the count begins.
-	driver.propose(payloadNumber(0));
+	await leaderships.reach(1);
+	// The first entry of the term is synced before the count starts.
+	driver.propose(createPayload(0));
 	await committed.reach(1);
 	const before = store.syncCount();
 	for (let done = 0; done < count; done += concurrency) {
 		for (let offset = 0; offset < concurrency; offset++) {
-			driver.propose(payloadNumber(done + offset + 1));
+			driver.propose(createPayload(done + offset + 1));
 		}
 
 		await committed.reach(1 + done + concurrency);
--- a/packages/bench/src/capacity/measure-state.ts
+++ b/packages/bench/src/capacity/measure-state.ts
@@ -14,14 +14,14 @@
 } from '@bitternpaddle/state';
 import type {SlopeName} from './definitions.js';
 import {heapBytesOf, millisecondsOf} from './heap.js';
-import {longestStallMs} from './loop-stall.js';
+import {measureMaxStallMs} from './loop-stall.js';
 import {
 	copyWithHosts, createSampleState, sampleAnnouncement, sampleVersionId,
 } from './sample-state.js';
 import type {Point} from './slope.js';
 
-/** An entry's view of all hosts; following a change afterwards compares every host's record. */
-const routerOf = (catalog: Catalog): RouterState => {
+/** Creates an entry's router for all hosts; later updates without changed host ids compare every host's record. */
+const createFilledRouter = (catalog: Catalog): RouterState => {
 	const router = createRouter({
 		entryId: 'entry-1', zoneId: 'zone-1', regionId: 'region-1', random: createRandom(1),
 	});
@@ -35,7 +35,7 @@
 const claimCounts = [5000, 10_000, 20_000, 40_000] as const;
 const changeCounts = [1000, 2000, 4000, 8000] as const;
 
-export const withFolder = async <Result>(work: (folder: string) => Promise<Result>): Promise<Result> => {
+export const withTemporaryFolder = async <Result>(work: (folder: string) => Promise<Result>): Promise<Result> => {
 	const folder = await mkdtemp(path.join(os.tmpdir(), 'bitternpaddle-capacity-'));
 	try {
 		return await work(folder);
@@ -44,7 +44,7 @@
 	}
 };
 
-/** As a host holds it after a snapshot: every string is its own. */
+/** Returns the heap size of a catalog as a host holds it after a snapshot, in which no strings are shared. */
 const catalogBytes = (hosts: number): number => {
 	const text = JSON.stringify(createSampleState(hosts).catalog);
 	return heapBytesOf(() => JSON.parse(text) as unknown);
@@ -72,14 +72,14 @@
 	return ledger;
 });
 
-/** What a leader knows after a control host has told it everything. */
-const presenceOf = (hosts: number): Presence => {
+/** Creates a leader's presence state after a control host has reported all hosts. */
+const createFilledPresence = (hosts: number): Presence => {
 	const presence = createPresence({hostLeaseMs: leaseTimes.hostLeaseMs, memberLeaseMs: leaseTimes.wordMs});
 	const reports = Array.from({length: hosts}, (_, index) => {
 		const announcement = sampleAnnouncement(index);
 		return {
 			hostId: announcement.hostId, role: 'agent' as const, address: announcement.address, revision: 1, requestsInFlight: 0, announcement,
-			readyVersionId: changedVersion, isLeaving: false, transfers: [],
+			readyVersionId: readyVersion, isLeaving: false, transfers: [],
 		};
 	});
 	hearFold(presence, {
@@ -91,9 +91,9 @@
 const {change: readinessChange} = commandSchema.parse({
 	commandId: null, ifRevision: null, change: {type: 'replicasChanged', readiness: [{hostId: 'host-00000', incarnation: 1, versionId: sampleVersionId}]},
 });
-const changedVersion = readinessChange.type === 'replicasChanged' ? readinessChange.readiness[0]!.versionId : null;
+const readyVersion = readinessChange.type === 'replicasChanged' ? readinessChange.readiness[0]!.versionId : null;
 
-/** A host is lost and comes back: what each host of the system spends on it. */
+/** Measures what each host of the system spends when one host is lost and joins again. */
 const measureMembership = (catalog: Catalog): {leaveMs: number; joinMs: number} => {
 	const announcement = sampleAnnouncement(0);
 	const leave = (): unknown => applyChange(catalog, {type: 'hostLeft', hostId: announcement.hostId, incarnation: announcement.incarnation}, catalog.revision + 1);
@@ -108,43 +108,43 @@
 	return {leaveMs: median(leaveMs), joinMs: median(joinMs)};
 };
 
-/** The first load of a fleet, which assigns all of its hosts. */
+/** Measures the first load of a fleet, which assigns all of its hosts. */
 const measureLoad = (state: ReplicatedState): number => {
 	const change = changeSchema.parse({type: 'load', versionId: sampleVersionId, fleetId: 'fair'}) as Parameters<typeof applyChange>[1];
-	const tookMs: number[] = [];
+	const durationsMs: number[] = [];
 	for (let round = 0; round < 3; round++) {
 		const {catalog} = copyWithHosts(state, host => ({...host, assignment: null}));
 		catalog.fleets.fair = {...catalog.fleets.fair!, isLoaded: false};
-		tookMs.push(millisecondsOf(() => applyChange(catalog, change, catalog.revision + 1), 1));
+		durationsMs.push(millisecondsOf(() => applyChange(catalog, change, catalog.revision + 1), 1));
 	}
 
-	return median(tookMs);
+	return median(durationsMs);
 };
 
 type SnapshotCost = {readonly sizeBytes: number; readonly tookMs: number; readonly stallMs: number};
 
-/** As a control host takes one: frozen, written down in steps, saved. */
-const measureSnapshot = async (state: ReplicatedState): Promise<SnapshotCost> => withFolder(async folder => {
+/** Takes snapshots as a control host does: freezes the state, serializes it in steps and saves it. */
+const measureSnapshot = async (state: ReplicatedState): Promise<SnapshotCost> => withTemporaryFolder(async folder => {
 	const store = await openLogStore({folder});
-	const tookMs: number[] = [];
+	const durationsMs: number[] = [];
 	const stallsMs: number[] = [];
 	for (let round = 0; round < 5; round++) {
 		const startedAtMs = performance.now();
-		stallsMs.push(await longestStallMs(async () => {
+		stallsMs.push(await measureMaxStallMs(async () => {
 			const text = await canonicalJsonInSteps(freezeState(state), {pause: nextTurn});
 			await store.saveSnapshot({
 				index: state.catalog.revision, term: 1, members: {voters: ['c1'], learners: []}, state: text,
 			}, {term: 1, votedFor: 'c1'}, []);
 		}));
-		tookMs.push(performance.now() - startedAtMs);
+		durationsMs.push(performance.now() - startedAtMs);
 	}
 
 	await store.close();
 	const {size: sizeBytes} = await stat(path.join(folder, 'snapshot.json'));
-	return {sizeBytes, tookMs: median(tookMs), stallMs: median(stallsMs)};
+	return {sizeBytes, tookMs: median(durationsMs), stallMs: median(stallsMs)};
 });
 
-const commandNumber = (number: number): Command => commandSchema.parse({
+const createCommand = (number: number): Command => commandSchema.parse({
 	commandId: `command-${number}`, ifRevision: null, change: {type: 'createModel', modelId: `model-${number}`},
 });
 
@@ -152,19 +152,19 @@
 	for (let start = 1; start <= count; start += batchSize) {
 		const size = Math.min(batchSize, count - start + 1);
 		await store.append(Array.from({length: size}, (_, offset) => ({
-			type: 'entry', entry: {index: start + offset, term: 1, payload: {type: 'command', command: commandNumber(start + offset)}},
+			type: 'entry', entry: {index: start + offset, term: 1, payload: {type: 'command', command: createCommand(start + offset)}},
 		})));
 	}
 };
 
-/** All segments. */
+/** Returns the total size of all log segments. */
 const logBytes = async (folder: string): Promise<number> => {
 	const names = await readdir(folder);
 	const sizes = await Promise.all(names.filter(name => name.startsWith('log-')).map(async name => stat(path.join(folder, name))));
 	return sizes.reduce((sum, {size}) => sum + size, 0);
 };
 
-const measureLog = async (changes: number): Promise<{sizeBytes: number; restartMs: number}> => withFolder(async folder => {
+const measureLog = async (changes: number): Promise<{sizeBytes: number; restartMs: number}> => withTemporaryFolder(async folder => {
 	const store = await openLogStore({folder});
 	await appendCommands(store, changes, 250);
 	await store.close();
@@ -180,22 +180,22 @@
 	return {sizeBytes, restartMs: median(restartMs)};
 });
 
-/** Slopes over the hosts in the catalog and over what control keeps. */
+/** Measures slopes over the number of hosts in the catalog and over the state that control retains. */
 export const measureState = async (): Promise<Measured> => {
 	const lines = Object.fromEntries(stateSlopes.map(name => [name, [] as Point[]])) as Record<typeof stateSlopes[number], Point[]>;
 	for (const x of hostCounts) {
 		lines['control.host.memory'].push({x, y: catalogBytes(x)});
 		const state = createSampleState(x);
 		const {catalog} = state;
-		const router = routerOf(catalog);
+		const router = createFilledRouter(catalog);
 		lines['host.catalog.size'].push({x, y: JSON.stringify(catalog).length});
-		lines['entry.index.memory'].push({x, y: heapBytesOf(() => routerOf(catalog))});
+		lines['entry.index.memory'].push({x, y: heapBytesOf(() => createFilledRouter(catalog))});
 		lines['entry.index.processor'].push({
 			x, y: millisecondsOf(() => {
 				updateRouter(router, catalog, null, 1);
 			}, 20),
 		});
-		const presence = presenceOf(x);
+		const presence = createFilledPresence(x);
 		lines['control.reconcile.processor'].push({
 			x, y: millisecondsOf(() => planMembership({
 				catalog, presence, budget: createLossBudget(), nowMs: 1, hostLossMs: 10_000,
--- a/packages/bench/src/capacity/measure-stream.ts
+++ b/packages/bench/src/capacity/measure-stream.ts
@@ -2,24 +2,24 @@
 import {sendLine, waitUntil} from '@bitternpaddle/daemon';
 import {createFakeEngine, createFakeOrigin, freeAddresses} from '@bitternpaddle/test-support';
 import {readBody, sendHttp} from '@bitternpaddle/transport';
-import {withFolder, type Measured} from './measure-state.js';
-import {usageBetween, type ProcessUsage} from './process-usage.js';
+import {withTemporaryFolder, type Measured} from './measure-state.js';
+import {measureUsage, type ProcessUsage} from './process-usage.js';
 import {startDaemon, type DaemonProcess} from './processes.js';
 import type {Point} from './slope.js';
-import {patienceMs} from './start-controls.js';
+import {startupTimeoutMs} from './start-controls.js';
 
 const tokenCounts = [1, 32, 64, 128, 256] as const;
 const concurrency = 16;
 const requestsPerSize = 64;
-/** Far enough apart that no two tokens of a stream share a write. */
+/** Long enough that no two tokens of a stream are sent in one write. */
 const tokenMs = 8;
 export const adminToken = 'bench-token';
 export const teamKey = 'bench-key';
 
 export type StreamPath = {readonly entry: DaemonProcess; readonly agent: DaemonProcess; readonly entryAddress: string};
 
-/** Control, entry and agent as processes, with engine and origin in this one; runs `work` when a replica serves. */
-export const withStreamPath = async (work: (path: StreamPath) => Promise<void>, entryFlags: Record<string, string> = {}): Promise<void> => withFolder(async folder => {
+/** Starts control, entry and agent as processes, with engine and origin in this process, and runs `work` once a replica is serving. */
+export const withStreamPath = async (work: (path: StreamPath) => Promise<void>, entryFlags: Record<string, string> = {}): Promise<void> => withTemporaryFolder(async folder => {
 	const [controlAddress, entryAddress] = await freeAddresses(2) as [string, string];
 	const engine = await createFakeEngine({tokenMs});
 	const origin = await createFakeOrigin();
@@ -39,18 +39,18 @@
 		await loadReplicas(entryAddress, manifestId);
 		await work({entry, agent, entryAddress});
 	} finally {
-		await Promise.all([control, entry, agent].map(async daemon => daemon.end()));
+		await Promise.all([control, entry, agent].map(async daemon => daemon.terminate()));
 		await engine.close();
 		await origin.close();
 	}
 });
 
-/** Brings a version to `replicas` agents, by operators' commands. */
+/** Loads a version on `replicas` agents with operator commands. */
 export const loadReplicas = async (address: string, manifestId: string, replicas = 1): Promise<void> => {
 	const send = async (line: string) => sendLine({
 		address, token: adminToken, line, commandId: line,
 	}).catch(() => null);
-	await waitUntil('the agent joined', async () => (await send('show hosts where role = agent'))?.body.rows?.length === replicas, {timeoutMs: patienceMs});
+	await waitUntil('the agents have joined', async () => (await send('show hosts where role = agent'))?.body.rows?.length === replicas, {timeoutMs: startupTimeoutMs});
 	for (const line of [
 		`create team bench key ${teamKey}`,
 		'create model pitch-desk',
@@ -61,10 +61,10 @@
 		await send(line);
 	}
 
-	await waitUntil('the replica is ready', async () => (await send('show replicas where ready = true'))?.body.rows?.length === replicas, {timeoutMs: patienceMs});
+	await waitUntil('the replicas are ready', async () => (await send('show replicas where ready = true'))?.body.rows?.length === replicas, {timeoutMs: startupTimeoutMs});
 };
 
-/** One whole streamed answer; throws when it is anything else. */
+/** Sends one streaming request; throws unless the streamed answer is complete. */
 export const streamOne = async (address: string, tokens: number): Promise<void> => {
 	const response = await sendHttp({
 		address, method: 'POST', path: '/v1/chat/completions', idleTimeoutMs: 10_000,
@@ -75,7 +75,7 @@
 	});
 	const text = (await readBody(response)).toString();
 	if (response.statusCode !== 200 || !text.endsWith('data: [DONE]\n\n')) {
-		throw new Error(`status ${response.statusCode}: ${text.slice(0, 200)}`);
+		throw new Error(`streaming request failed with status ${response.statusCode}: ${text.slice(0, 200)}`);
 	}
 };
 
@@ -89,20 +89,20 @@
 	}));
 };
 
-/** Real entry and agent with streamed answers of growing length: the slope is a token, the intercept a request. */
+/** Measures a real entry and agent with streamed answers of increasing length: the slope is the cost per token, the intercept the cost per request. */
 export const measureStreams = async (): Promise<Measured> => {
 	const entryProcessor: Point[] = [];
 	const entryBytes: Point[] = [];
 	const agentProcessor: Point[] = [];
 	const agentBytes: Point[] = [];
 	await withStreamPath(async ({entry, agent, entryAddress}) => {
-		// The first requests also compile the code; they are not counted.
+		// Warm-up: the first requests include compiling the code and are not counted.
 		await streamMany(entryAddress, 32);
 		await streamMany(entryAddress, 32);
 		for (const x of tokenCounts) {
 			let agentUsage: ProcessUsage = {processorMs: 0, transferBytes: 0};
-			const entryUsage = await usageBetween(entry.pid, async () => {
-				agentUsage = await usageBetween(agent.pid, async () => streamMany(entryAddress, x));
+			const entryUsage = await measureUsage(entry.pid, async () => {
+				agentUsage = await measureUsage(agent.pid, async () => streamMany(entryAddress, x));
 			});
 			entryProcessor.push({x, y: entryUsage.processorMs / requestsPerSize});
 			entryBytes.push({x, y: entryUsage.transferBytes / requestsPerSize});
--- a/packages/bench/src/capacity/measure-swarm.ts
+++ b/packages/bench/src/capacity/measure-swarm.ts
@@ -6,9 +6,9 @@
 import {regions, sampleManifestId, zones} from './sample-state.js';
 import type {Point} from './slope.js';
 
-const letterHosts = 1500;
+const targetHostCount = 1500;
 const transferChunks = 128;
-/** A chunk of 4 MiB on a link of 1 Gbit/s. */
+/** Time for a chunk of 4 MiB on a link of 1 Gbit/s. */
 const roundMs = 34;
 const originChunksPerRound = 2;
 const sampleDigest = `sha256:${'cd'.repeat(32)}`;
@@ -21,8 +21,8 @@
 	self, manifestId: sampleManifestId, totalChunks, held: [], peers, random: createRandom(7), nowMs: 0, ...(maxNeighbours === undefined ? {} : {maxNeighbours}),
 });
 
-/** Memory of what eight neighbours announced, all chunks of each. */
-const haveBytes = (chunks: number): number => {
+/** Returns the memory for the announcements of eight neighbours that hold all chunks. */
+const measureAnnouncementBytes = (chunks: number): number => {
 	const peers = peersOf(9);
 	return heapBytesOf(() => {
 		const {state} = createMember(peers[0]!, peers, chunks);
@@ -37,10 +37,10 @@
 	});
 };
 
-type Mail = {readonly from: string; readonly effect: SwarmEffect};
+type QueuedEffect = {readonly from: string; readonly effect: SwarmEffect};
 
-/** The oldest fetch that can have ended in this round. */
-const takeOneChunk = (state: SwarmState, origin: {chunksLeft: number}, nowMs: number): SwarmEffect[] => {
+/** Completes the oldest fetch that can have finished in this round. */
+const completeOneFetch = (state: SwarmState, origin: {chunksLeft: number}, nowMs: number): SwarmEffect[] => {
 	for (const [chunk, [fetch]] of state.fetches) {
 		const {source} = fetch!;
 		if (source.type === 'peer' || origin.chunksLeft > 0) {
@@ -52,25 +52,25 @@
 	return [];
 };
 
-/** A transfer among real machines, in rounds in which each host takes in one chunk and the origin gives two. */
+/** Simulates a transfer among the real state machines, in rounds in which each host receives one chunk and the origin serves two; returns the messages per chunk and host. */
 const messagesPerChunk = (hosts: number, maxNeighbours: number): number => {
 	const peers = peersOf(hosts);
 	const members = new Map<string, SwarmState>();
-	let mail: Mail[] = [];
+	let queued: QueuedEffect[] = [];
 	let messages = 0;
-	const post = (from: string, effects: readonly SwarmEffect[]): void => {
-		mail.push(...effects.map(effect => ({from, effect})));
+	const enqueue = (from: string, effects: readonly SwarmEffect[]): void => {
+		queued.push(...effects.map(effect => ({from, effect})));
 	};
 
 	const deliver = (nowMs: number): void => {
-		while (mail.length > 0) {
-			const delivered = mail;
-			mail = [];
+		while (queued.length > 0) {
+			const delivered = queued;
+			queued = [];
 			for (const {from, effect} of delivered) {
 				for (const to of effect.type === 'announce' ? effect.to : []) {
 					messages++;
 					const {chunks, isGreeting} = effect as Extract<SwarmEffect, {type: 'announce'}>;
-					post(to, stepSwarm(members.get(to)!, {
+					enqueue(to, stepSwarm(members.get(to)!, {
 						type: 'peerHas', hostId: from, chunks, isGreeting,
 					}, nowMs));
 				}
@@ -81,7 +81,7 @@
 	for (const peer of peers) {
 		const {state, effects} = createMember(peer, peers, transferChunks, maxNeighbours);
 		members.set(peer.hostId, state);
-		post(peer.hostId, effects);
+		enqueue(peer.hostId, effects);
 	}
 
 	const isDone = (): boolean => [...members.values()].every(({held}) => held.size === transferChunks);
@@ -89,16 +89,16 @@
 		deliver(nowMs);
 		const origin = {chunksLeft: originChunksPerRound};
 		for (const [hostId, state] of members) {
-			post(hostId, stepSwarm(state, {type: 'tick'}, nowMs));
-			post(hostId, takeOneChunk(state, origin, nowMs));
+			enqueue(hostId, stepSwarm(state, {type: 'tick'}, nowMs));
+			enqueue(hostId, completeOneFetch(state, origin, nowMs));
 		}
 	}
 
 	return messages / hosts / transferChunks;
 };
 
-/** One stored chunk in the middle of a transfer, with eight neighbours that hold all. */
-const storeMs = (chunks: number): number => {
+/** Measures storing one chunk during a transfer, with eight neighbours that hold all chunks. */
+const measureStoreMs = (chunks: number): number => {
 	const peers = peersOf(9);
 	const {state} = createMember(peers[0]!, peers, chunks);
 	const all = Array.from({length: chunks}, (_, index) => index);
@@ -114,14 +114,14 @@
 	}, 20);
 };
 
-/** A host that leaves or joins in the middle of a transfer among the letter's 1,500 hosts. */
-const peersMs = (chunks: number): number => {
-	const peers = peersOf(letterHosts);
+/** Measures a host that leaves or joins during a transfer among the 1,500 hosts of the target deployment. */
+const measurePeerChangeMs = (chunks: number): number => {
+	const peers = peersOf(targetHostCount);
 	const {state} = createMember(peers[0]!, peers, chunks);
-	let isOneAway = false;
+	let isOneMissing = false;
 	return millisecondsOf(() => {
-		isOneAway = !isOneAway;
-		stepSwarm(state, {type: 'peersChanged', peers: isOneAway ? peers.slice(0, -1) : peers}, 0);
+		isOneMissing = !isOneMissing;
+		stepSwarm(state, {type: 'peersChanged', peers: isOneMissing ? peers.slice(0, -1) : peers}, 0);
 	}, 3);
 };
 
@@ -132,9 +132,9 @@
 const pointsOf = (sizes: readonly number[], measure: (size: number) => number): Point[] => sizes.map(x => ({x, y: measure(x)}));
 
 export const measureSwarm = async (): Promise<Measured> => ({
-	'swarm.have.memory': pointsOf([1000, 2000, 4000, 8000], haveBytes).map(({x, y}) => ({x: x * 8, y})),
+	'swarm.have.memory': pointsOf([1000, 2000, 4000, 8000], measureAnnouncementBytes).map(({x, y}) => ({x: x * 8, y})),
 	'swarm.have.messages': pointsOf([4, 8, 12, 16], neighbours => messagesPerChunk(100, neighbours)),
-	'swarm.store.processor': pointsOf([1000, 2000, 4000, 8000], storeMs),
-	'swarm.peers.processor': pointsOf([250, 500, 1000, 2000], peersMs),
+	'swarm.store.processor': pointsOf([1000, 2000, 4000, 8000], measureStoreMs),
+	'swarm.peers.processor': pointsOf([250, 500, 1000, 2000], measurePeerChangeMs),
 	'swarm.manifest.size': pointsOf([1000, 2000, 4000, 8000], manifestBytes),
 });
--- a/packages/bench/src/capacity/page.ts
+++ b/packages/bench/src/capacity/page.ts
@@ -3,11 +3,11 @@
 import {limits} from './letter.js';
 import type {IdleMemory} from './measure-host.js';
 import {
-	brokenAt, engineTokenMs, type Times, type TokenRow,
+	firstMultipleOverLimit, engineTokenMs, type Quantiles, type TokenRow,
 } from './measure-tokens.js';
 import type {Slope} from './slope.js';
 
-const digits = (value: number): string => Number(value.toPrecision(3)).toLocaleString('en', {maximumSignificantDigits: 3});
+const format = (value: number): string => Number(value.toPrecision(3)).toLocaleString('en', {maximumSignificantDigits: 3});
 
 const table = (head: readonly string[], rows: ReadonlyArray<readonly string[]>): string => [head, head.map(() => '---'), ...rows]
 	.map(cells => `| ${cells.join(' | ')} |`)
@@ -19,11 +19,11 @@
 		name,
 		unit,
 		per,
-		digits(slope),
-		digits(standardError),
-		digits(intercept),
+		format(slope),
+		format(standardError),
+		format(intercept),
 		rSquared.toFixed(3),
-		`${points.length}: ${digits(points[0]!.x)} to ${digits(points.at(-1)!.x)}`,
+		`${points.length}: ${format(points[0]!.x)} to ${format(points.at(-1)!.x)}`,
 	];
 };
 
@@ -46,56 +46,56 @@
 		return '';
 	}
 
-	const over = Object.entries(values).filter(([, value]) => value > limit);
-	return over.length === 0 ? 'fits' : over.map(([reading, value]) => `**${reading}: ${(value / limit).toFixed(1)} times**`).join(', ');
+	const exceeded = Object.entries(values).filter(([, value]) => value > limit);
+	return exceeded.length === 0 ? 'fits' : exceeded.map(([variant, value]) => `**${variant}: ${(value / limit).toFixed(1)} times**`).join(', ');
 };
 
 export const estimateTable = (estimates: readonly Estimate[]): string => table(
-	['role', 'what', 'unit', 'agent per host', 'agent per worker', 'limit', 'verdict', 'worked out from'],
+	['role', 'what', 'unit', 'agent per host', 'agent per worker', 'limit', 'verdict', 'formula'],
 	estimates.map(estimate => [
 		estimate.role,
 		estimate.what,
 		estimate.unit,
-		digits(estimate.values['agent per host']),
-		digits(estimate.values['agent per worker']),
-		estimate.limit === null ? '' : digits(estimate.limit),
+		format(estimate.values['agent per host']),
+		format(estimate.values['agent per worker']),
+		estimate.limit === null ? '' : format(estimate.limit),
 		verdictOf(estimate),
 		estimate.from,
 	]),
 );
 
-const times = ({p50Ms, p95Ms, p99Ms}: Times): string => [p50Ms, p95Ms, p99Ms].map(value => digits(value)).join(' / ');
+const formatQuantiles = ({p50Ms, p95Ms, p99Ms}: Quantiles): string => [p50Ms, p95Ms, p99Ms].map(value => format(value)).join(' / ');
 
-/** Times as p50 / p95 / p99. */
+/** Durations are shown as p50 / p95 / p99. */
 export const tokenTable = (rows: readonly TokenRow[]): string => table(
 	['times a node\'s share', 'tokens/s', 'failed', 'first token direct, ms', 'through', 'added at p95', 'between tokens direct, ms', 'through', 'entry, % of a core'],
 	rows.map(({multiple, entryPercent, direct, through}) => [
-		digits(multiple),
-		digits(through.tokensPerSecond),
+		format(multiple),
+		format(through.tokensPerSecond),
 		String(through.failed + direct.failed),
-		times(direct.firstToken),
-		times(through.firstToken),
-		digits(through.firstToken.p95Ms - direct.firstToken.p95Ms),
-		times(direct.gap),
-		times(through.gap),
-		digits(entryPercent),
+		formatQuantiles(direct.firstToken),
+		formatQuantiles(through.firstToken),
+		format(through.firstToken.p95Ms - direct.firstToken.p95Ms),
+		formatQuantiles(direct.gap),
+		formatQuantiles(through.gap),
+		format(entryPercent),
 	]),
 );
 
-/** Table, and at which multiple the letter's bound between tokens is missed. */
+/** Returns the table of tokens and a sentence on the multiple at which the required limit between tokens is exceeded. */
 export const tokenSection = (rows: readonly TokenRow[]): string => {
-	const broken = brokenAt(rows);
-	const verdict = broken === null ? `holds up to ${digits(rows.at(-1)!.multiple)} times a node's share, the most that was measured` : `is missed at ${digits(broken)} times a node's share`;
-	return `${tokenTable(rows)}\n\nThe bound of ${limits.tokenGapMs} ms between tokens for 95 in 100, with an engine that takes ${engineTokenMs} ms, ${verdict}.`;
+	const exceededAt = firstMultipleOverLimit(rows);
+	const verdict = exceededAt === null ? `holds up to ${format(rows.at(-1)!.multiple)} times a node's share, the maximum measured` : `is exceeded at ${format(exceededAt)} times a node's share`;
+	return `${tokenTable(rows)}\n\nThe limit of ${limits.tokenGapMs} ms between tokens at p95, with an engine that takes ${engineTokenMs} ms per token, ${verdict}.`;
 };
 
-/** Puts `content` between the markers of a generated section of the page. */
-export const renewSection = (page: string, section: string, content: string): string => {
+/** Replaces the content between the markers of a generated section of the page. */
+export const replaceSection = (page: string, section: string, content: string): string => {
 	const [begin, end] = [`<!-- begin ${section} -->`, `<!-- end ${section} -->`];
 	const from = page.indexOf(begin);
 	const to = page.indexOf(end);
 	if (from === -1 || to < from) {
-		throw new Error(`the page has no section "${section}" between its two markers`);
+		throw new Error(`the page has no section "${section}" between a begin and an end marker`);
 	}
 
 	return `${page.slice(0, from + begin.length)}\n\n${content}\n\n${page.slice(to)}`;
--- a/packages/bench/src/capacity/processes.ts
+++ b/packages/bench/src/capacity/processes.ts
@@ -8,52 +8,52 @@
 
 export type DaemonProcess = {
 	readonly pid: number;
-	end(): Promise<void>;
+	terminate(): Promise<void>;
 };
 
-const endOf = (child: ChildProcess) => async (): Promise<void> => {
+const createTerminate = (child: ChildProcess) => async (): Promise<void> => {
 	if (child.exitCode === null && child.signalCode === null) {
-		const ended = new Promise(resolve => {
+		const exited = new Promise(resolve => {
 			child.once('exit', resolve);
 		});
 		child.kill('SIGKILL');
-		await ended;
+		await exited;
 	}
 };
 
-const startNode = (nodeArguments: readonly string[]): DaemonProcess => {
+const startNodeProcess = (nodeArguments: readonly string[]): DaemonProcess => {
 	const child = spawn(process.execPath, [...nodeArguments], {stdio: 'ignore'});
 	if (child.pid === undefined) {
-		throw new Error(`could not start ${path.basename(process.execPath)}`);
+		throw new Error(`failed to start ${path.basename(process.execPath)}`);
 	}
 
-	return {pid: child.pid, end: endOf(child)};
+	return {pid: child.pid, terminate: createTerminate(child)};
 };
 
 export type ScriptProcess = DaemonProcess & {
-	/** What the script prints as its first line. */
+	/** The first line that the script prints to standard output. */
 	readonly line: Promise<string>;
 };
 
-/** A compiled script of this folder as its own process. */
+/** Starts a compiled script of this folder in its own process. */
 export const startScript = (name: string, scriptArguments: readonly string[]): ScriptProcess => {
 	const child = spawn(process.execPath, [fileURLToPath(new URL(`${name}.js`, import.meta.url)), ...scriptArguments], {stdio: ['ignore', 'pipe', 'inherit']});
 	const lines = createInterface({input: child.stdout});
 	const line = new Promise<string>((resolve, reject) => {
 		lines.once('line', resolve);
 		lines.once('close', () => {
-			reject(new Error(`${name} ended without a line`));
+			reject(new Error(`${name} exited without printing a line`));
 		});
 	});
-	// Whoever awaits it hears of the failure; an end by this process is none.
+	// Avoids an unhandled rejection if nobody awaits the line: callers that await it still receive the error, and a script that this process terminates has not failed.
 	line.catch(() => undefined);
-	return {pid: child.pid!, line, end: endOf(child)};
+	return {pid: child.pid!, line, terminate: createTerminate(child)};
 };
 
-/** `bitternpaddled run` as its own process, silent. */
-export const startDaemon = (flags: Record<string, string>): DaemonProcess => startNode([
+/** Starts `bitternpaddled run` in its own process, with logging switched off. */
+export const startDaemon = (flags: Record<string, string>): DaemonProcess => startNodeProcess([
 	daemonFile, 'run', ...Object.entries({'log-level': 'silent', ...flags}).flatMap(([name, value]) => [`--${name}`, value]),
 ]);
 
-/** A Node process that loads nothing of ours: what the runtime alone takes. */
-export const startEmptyNode = (): DaemonProcess => startNode(['-e', 'setInterval(() => {}, 1000)']);
+/** Starts a Node process that loads none of this project's code, to measure the runtime alone. */
+export const startEmptyNode = (): DaemonProcess => startNodeProcess(['-e', 'setInterval(() => {}, 1000)']);
--- a/packages/bench/src/capacity/sample-state.ts
+++ b/packages/bench/src/capacity/sample-state.ts
@@ -3,7 +3,7 @@
 } from '@bitternpaddle/state';
 import * as z from 'zod';
 
-/** The letter's zones: hosts are spread evenly over them. */
+/** Number of availability zones in the target deployment; hosts are distributed evenly over them. */
 export const zones = 31;
 export const regions = 9;
 export const sampleManifestId = `sha256:${'ab'.repeat(32)}`;
@@ -11,30 +11,30 @@
 export const sampleKey = 'marshals-key';
 const sampleKeyDigest = sha256(sampleKey);
 
-/** An announcement as an agent of the letter's size makes it. */
+/** Creates an announcement as an agent of the target deployment sends it. */
 export const sampleAnnouncement = (number: number): Announcement => announcementSchema.parse({
 	hostId: `host-${String(number).padStart(5, '0')}`, zoneId: `zone-${number % zones}`, regionId: `region-${number % regions}`, serviceId: 'pitch-desk',
 	provider: 'new', address: `10.0.${Math.floor(number / 250)}.${number % 250}:7200`, capacity: 16, incarnation: 1_796_000_000_000 + number, kind: 'engine',
 });
 
-/** Applies changes as committed commands, one log index each. */
-export const applyAll = (state: ReplicatedState, changes: readonly Change[]): void => {
+/** Applies each change as a committed command with its own log index. */
+export const applyChanges = (state: ReplicatedState, changes: readonly Change[]): void => {
 	for (const change of changes) {
 		applyCommand(state, {commandId: null, ifRevision: null, change}, state.catalog.revision + 1);
 	}
 };
 
 /**
- * A state with `hosts` endpoints, all assigned and ready. The assignments are
- * put in directly, into a copy: the index of hosts belongs to a catalog object,
- * and one that was changed behind its back plans without end.
+ * Creates a state with `hosts` endpoints, all assigned and ready. The assignments are
+ * set directly on a copy: the host index belongs to a catalog object, and planning
+ * does not terminate if that object's hosts are modified without updating the index.
  */
 export const createSampleState = (hosts: number): ReplicatedState => {
-	const joined: ReplicatedState = {catalog: createCatalog(), ledger: createLedger()};
-	applyAll(joined, Array.from({length: hosts}, (_, index) => ({type: 'hostJoined', announcement: sampleAnnouncement(index)})));
+	const stateWithHosts: ReplicatedState = {catalog: createCatalog(), ledger: createLedger()};
+	applyChanges(stateWithHosts, Array.from({length: hosts}, (_, index) => ({type: 'hostJoined', announcement: sampleAnnouncement(index)})));
 	const assignment = {fleetId: 'fair', versionId: sampleVersionId, fencingNumber: hosts + 5};
-	const state = copyWithHosts(joined, host => ({...host, readyVersionId: sampleVersionId, assignment}));
-	applyAll(state, z.array(changeSchema).parse([
+	const state = copyWithHosts(stateWithHosts, host => ({...host, readyVersionId: sampleVersionId, assignment}));
+	applyChanges(state, z.array(changeSchema).parse([
 		{type: 'createModel', modelId: 'pitch-desk'},
 		{type: 'createVersion', versionId: sampleVersionId, manifestId: sampleManifestId},
 		{
@@ -48,7 +48,7 @@
 	return state;
 };
 
-/** A copy whose hosts are changed. */
+/** Copies a state and replaces each host by the result of `change`. */
 export const copyWithHosts = ({catalog, ledger}: ReplicatedState, change: (host: HostRecord) => HostRecord): ReplicatedState => {
 	const hosts = Object.fromEntries(Object.entries(catalog.hosts).map(([hostId, host]) => [hostId, change(host)]));
 	return {catalog: structuredClone({...catalog, hosts}), ledger};
--- a/packages/bench/src/capacity/start-controls.ts
+++ b/packages/bench/src/capacity/start-controls.ts
@@ -6,13 +6,13 @@
 
 export type ControlProcess = DaemonProcess & {readonly address: string};
 
-/** Control processes, all voters, and the one of them that leads. */
-export type Controls = {readonly leader: ControlProcess; readonly followers: readonly ControlProcess[]; end(): Promise<void>};
+/** Control processes, all of them voters, grouped into leader and followers. */
+export type Controls = {readonly leader: ControlProcess; readonly followers: readonly ControlProcess[]; terminate(): Promise<void>};
 
-/** A busy machine makes a measurement worse, but must not end it. */
-export const patienceMs = 120_000;
+/** Long enough that a busy machine degrades a measurement but does not abort it. */
+export const startupTimeoutMs = 120_000;
 
-const leaderOf = async (addresses: readonly string[]): Promise<string | null> => {
+const findLeader = async (addresses: readonly string[]): Promise<string | null> => {
 	for (const address of addresses) {
 		const answer = await sendHttp({address, path: '/readyz', idleTimeoutMs: 1000}).then(async response => readBody(response)).catch(() => null);
 		const {leaderId = null} = JSON.parse(answer?.toString() ?? '{}') as {leaderId?: string | null};
@@ -33,24 +33,24 @@
 			roles: 'control', 'host-id': ids[index]!, listen: address, controls, 'data-folder': path.join(folder, ids[index]!),
 		}),
 	}]));
-	const end = async (): Promise<void> => {
-		await Promise.all([...processes.values()].map(async control => control.end()));
+	const terminate = async (): Promise<void> => {
+		await Promise.all([...processes.values()].map(async control => control.terminate()));
 	};
 
 	let leaderId: string | null = null;
-	await waitUntil('a control host leads', async () => {
-		leaderId = await leaderOf(addresses);
+	await waitUntil('a control host is the leader', async () => {
+		leaderId = await findLeader(addresses);
 		return leaderId !== null;
-	}, {timeoutMs: patienceMs}).catch(async (error: unknown) => {
-		// Nobody else knows of them yet.
-		await end();
+	}, {timeoutMs: startupTimeoutMs}).catch(async (error: unknown) => {
+		// The caller has no reference to these processes yet and cannot terminate them.
+		await terminate();
 		throw error;
 	});
 	const leader = processes.get(leaderId!)!;
 	return {
 		leader,
 		followers: [...processes.values()].filter(follower => follower !== leader),
-		end,
+		terminate,
 	};
 };
 
--- a/packages/bench/src/capacity/token-call.ts
+++ b/packages/bench/src/capacity/token-call.ts
@@ -1,18 +1,18 @@
-/** What a caller process is told to send. */
+/** The load that a caller process sends. */
 export type TokenCall = {
 	readonly addresses: readonly string[];
 	readonly authorization: string;
-	/** In the long run; the callers are independent of each other. */
+	/** Average rate; arrivals are independent of each other. */
 	readonly requestsPerSecond: number;
-	/** Until as many streams are open as there will be. */
+	/** Time until the number of open streams is steady. */
 	readonly warmUpMs: number;
 	readonly measureMs: number;
-	/** Of each request. */
+	/** Tokens per request. */
 	readonly tokens: number;
 	readonly seed: number;
 };
 
-/** What a caller process saw; times in microseconds, as encoded histograms. */
+/** The measurements of a caller process; durations are in microseconds, as encoded histograms. */
 export type TokenCallResult = {
 	readonly firstTokens: string;
 	readonly gaps: string;
--- a/packages/bench/src/capacity/token-caller.ts
+++ b/packages/bench/src/capacity/token-caller.ts
@@ -9,9 +9,9 @@
 
 const eventStart = Buffer.from('data: ');
 
-const eventsIn = (part: Buffer): number => {
+const countEvents = (part: Buffer): number => {
 	let events = 0;
-	for (let at = part.indexOf(eventStart); at !== -1; at = part.indexOf(eventStart, at + eventStart.length)) {
+	for (let position = part.indexOf(eventStart); position !== -1; position = part.indexOf(eventStart, position + eventStart.length)) {
 		events++;
 	}
 
@@ -25,11 +25,11 @@
 	const pool = new http.Agent({keepAlive: true, maxFreeSockets: 1024});
 	const countFromMs = performance.now() + warmUpMs;
 	const countToMs = countFromMs + measureMs;
-	let counted = 0;
+	let countedTokens = 0;
 	let failed = 0;
 	const isCounted = (atMs: number): boolean => atMs >= countFromMs && atMs < countToMs;
 
-	/** A part that brings several tokens counts as one gap, and the others as none: so does a reader see them. */
+	/** A received part with several tokens counts as one gap, followed by gaps of 0 for its other tokens, which is how a reader sees them. */
 	const streamOne = async (address: string): Promise<void> => {
 		const sentAtMs = performance.now();
 		const response = await sendHttp({
@@ -40,12 +40,12 @@
 		});
 		if (response.statusCode !== 200) {
 			response.resume();
-			throw new Error(`status ${response.statusCode}`);
+			throw new Error(`streaming request failed with status ${response.statusCode}`);
 		}
 
 		let lastMs: number | null = null;
 		for await (const part of response as AsyncIterable<Buffer>) {
-			const events = eventsIn(part);
+			const events = countEvents(part);
 			const nowMs = performance.now();
 			if (events > 0 && lastMs === null && isCounted(sentAtMs)) {
 				firstTokens.recordValue(Math.round((nowMs - sentAtMs) * 1000));
@@ -54,7 +54,7 @@
 			}
 
 			if (events > 0 && isCounted(nowMs)) {
-				counted += events;
+				countedTokens += events;
 			}
 
 			for (let further = 1; further < events && isCounted(nowMs); further++) {
@@ -65,22 +65,22 @@
 		}
 	};
 
-	const noteFailure = (): void => {
+	const recordFailure = (): void => {
 		failed += isCounted(performance.now()) ? 1 : 0;
 	};
 
 	for (let dueMs = performance.now(); dueMs < countToMs;) {
 		await delay(Math.max(0, dueMs - performance.now()));
-		void streamOne(addresses[random.between(0, addresses.length - 1)]!).catch(noteFailure);
-		// Callers come independently of each other.
+		void streamOne(addresses[random.between(0, addresses.length - 1)]!).catch(recordFailure);
+		// Exponentially distributed intervals, because callers arrive independently of each other.
 		dueMs += -Math.log(random.between(1, 1_000_000) / 1_000_000) * 1000 / requestsPerSecond;
 	}
 
 	return {
-		firstTokens: encodeIntoCompressedBase64(firstTokens), gaps: encodeIntoCompressedBase64(gaps), tokensPerSecond: counted / measureMs * 1000, failed,
+		firstTokens: encodeIntoCompressedBase64(firstTokens), gaps: encodeIntoCompressedBase64(gaps), tokensPerSecond: countedTokens / measureMs * 1000, failed,
 	};
 };
 
 process.stdout.write(`${JSON.stringify(await callMany(JSON.parse(process.argv[2]!) as TokenCall))}\n`);
-// Streams that are still open are of no interest any more.
+// Streams that are still open are no longer needed.
 process.exit(); // eslint-disable-line unicorn/no-process-exit
--- a/packages/bench/src/capacity/token-engine.ts
+++ b/packages/bench/src/capacity/token-engine.ts
@@ -1,6 +1,6 @@
 import process from 'node:process';
 import {createFakeEngine} from '@bitternpaddle/test-support';
 
-/** A fake engine as a process of its own; its argument is the time between two tokens. */
+/** Runs a fake engine in its own process; the argument is the time between two tokens in milliseconds. */
 const engine = await createFakeEngine({tokenMs: Number(process.argv[2])});
 process.stdout.write(`${engine.address}\n`);
--- a/packages/bench/src/fleet-cost/fleet-cost.ts
+++ b/packages/bench/src/fleet-cost/fleet-cost.ts
@@ -5,7 +5,7 @@
 import {fileURLToPath} from 'node:url';
 import {parseArgs} from 'node:util';
 import {freeAddresses} from '@bitternpaddle/test-support';
-import {withFolder} from '../capacity/measure-state.js';
+import {withTemporaryFolder} from '../capacity/measure-state.js';
 import {readMemory, readUsage, type ProcessUsage} from '../capacity/process-usage.js';
 import {coreCount} from './deployment.js';
 import {
@@ -83,7 +83,7 @@
 
 type MeasureOptions = {readonly program: string; readonly emptyMs: number; readonly profileFolder: string | null};
 
-const measureRole = async (role: Role, engineCount: number, {program, emptyMs, profileFolder}: MeasureOptions): Promise<RoleCost> => withFolder(async folder => {
+const measureRole = async (role: Role, engineCount: number, {program, emptyMs, profileFolder}: MeasureOptions): Promise<RoleCost> => withTemporaryFolder(async folder => {
 	const [selfAddress, listen, readinessListen, engineAddress, ...others] = await freeAddresses(4 + coreCount) as [string, string, string, string, ...string[]];
 	const settings: RoleSettings = {
 		role, selfAddress, listen, readinessListen, engineAddress, folder: path.join(folder, 'core'),
@@ -119,7 +119,7 @@
 			engines: {type: 'string', default: '15,60,170'}, roles: {type: 'string', default: roles.join(',')}, profile: {type: 'string'},
 		},
 	});
-	return withFolder(async folder => {
+	return withTemporaryFolder(async folder => {
 		execFileSync(process.execPath, [bundler, roleModule, folder, values.profile === undefined ? 'minified' : 'plain', ...nodeFlags]);
 		const empty = await sample(['-e', 'setInterval(() => {}, 1000)'], null);
 		const result: Record<string, RoleCost[]> = {};
