--- a/packages/bench/src/chaos/chaos.ts
+++ b/packages/bench/src/chaos/chaos.ts
@@ -4,11 +4,11 @@
 import {createRandom} from '@bitternpaddle/coordination';
 import {addTally, goodputOf} from './goodput.js';
 import {createFindings, type Findings, type RunClustersOptions} from './run-clusters.js';
-import {drawSchedules} from './schedule.js';
+import {createSchedules} from './schedule.js';
 
 const defaultSchedules = 200;
 const defaultSeed = 4;
-/** Each with clusters of its own in one thread: a thread that is too busy would look like a frozen host to itself. */
+/** Each worker runs its own clusters in one thread; in an overloaded thread the hosts would detect stalls of their own process. */
 const workers = 4;
 const clustersPerWorker = 3;
 
@@ -34,18 +34,18 @@
 	}
 };
 
-/** Random schedules of faults over all roles, judged by the history that they leave. */
+/** Runs random schedules of faults over all roles and checks the recorded history for violations. */
 export const measureChaos = async (flags: readonly string[]): Promise<Record<string, unknown>> => {
 	const {values} = parseArgs({args: [...flags], options: {schedules: {type: 'string'}, seed: {type: 'string'}}});
 	const count = Number(values.schedules ?? defaultSchedules);
 	const seed = Number(values.seed ?? defaultSeed);
 	print(`seed ${seed}, ${count} schedules`);
-	const schedules = drawSchedules(createRandom(seed), count);
+	const schedules = createSchedules(createRandom(seed), count);
 	const total = createFindings();
 	const startedAtMs = performance.now();
 	await Promise.all(Array.from({length: workers}, async (_, worker) => {
-		const own = schedules.filter(schedule => schedule.number % workers === worker);
-		addFindings(total, await runWorker({schedules: own, clusters: clustersPerWorker}));
+		const workerSchedules = schedules.filter(schedule => schedule.number % workers === worker);
+		addFindings(total, await runWorker({schedules: workerSchedules, clusters: clustersPerWorker}));
 	}));
 	const {tally} = total;
 	return {
--- a/packages/bench/src/chaos/faults.ts
+++ b/packages/bench/src/chaos/faults.ts
@@ -6,11 +6,11 @@
 import type {PlannedFault} from './schedule.js';
 import {booking, callThrough} from './traffic.js';
 
-/** A fault that has begun. */
+/** A fault that has been started. */
 export type ActiveFault = {
-	/** Work that the fault itself started, such as racing operators. */
+	/** Resolves when the work that the fault itself started, such as concurrent operator commands, has finished. */
 	readonly done: Promise<unknown>;
-	/** Takes it back. */
+	/** Reverts the fault. */
 	undo(): Promise<void>;
 };
 
@@ -19,29 +19,29 @@
 	readonly fault: PlannedFault;
 	/** Unique among all faults of the cluster. */
 	readonly name: string;
-	/** Says, before anything fails, which nodes the fault touches. */
-	touch(nodeIds: readonly string[]): void;
+	/** Records which nodes the fault affects, before anything fails. */
+	recordAffected(nodeIds: readonly string[]): void;
 };
 
 const pick = <Item>(items: readonly Item[], draw: number): Item => items[draw % items.length]!;
 
-const nothing = async (): Promise<void> => undefined;
+const noUndo = async (): Promise<void> => undefined;
 
-const killed = async ({touch}: FaultContext, handle: NodeHandle<unknown>): Promise<ActiveFault> => {
-	touch([handle.nodeId]);
+const killNode = async ({recordAffected}: FaultContext, handle: NodeHandle<unknown>): Promise<ActiveFault> => {
+	recordAffected([handle.nodeId]);
 	await handle.kill();
 	return {done: Promise.resolve(), undo: async () => handle.start()};
 };
 
-const lost = async ({touch}: FaultContext, handle: NodeHandle<unknown>): Promise<ActiveFault> => {
-	touch([handle.nodeId]);
+const loseNode = async ({recordAffected}: FaultContext, handle: NodeHandle<unknown>): Promise<ActiveFault> => {
+	recordAffected([handle.nodeId]);
 	await handle.lose();
 	return {done: Promise.resolve(), undo: async () => handle.start()};
 };
 
-/** A planned stop, and a start once the node has ended. */
-const stopped = async ({touch, cluster: {history}}: FaultContext, handle: NodeHandle<unknown>): Promise<ActiveFault> => {
-	touch([]);
+/** Stops a node gracefully, and starts it again once it has exited. */
+const stopNode = async ({recordAffected, cluster: {history}}: FaultContext, handle: NodeHandle<unknown>): Promise<ActiveFault> => {
+	recordAffected([]);
 	history.record({type: 'leaveStarted', nodeId: handle.nodeId, cause: 'stop'});
 	const done = handle.stop();
 	return {
@@ -53,9 +53,9 @@
 	};
 };
 
-const allNodeIds = ({controls, entries, agents}: FailureCluster): string[] => [...controls, ...entries, ...agents].map(handle => handle.nodeId);
+const nodeIdsOf = ({controls, entries, agents}: FailureCluster): string[] => [...controls, ...entries, ...agents].map(handle => handle.nodeId);
 
-const onLinks = (links: readonly Link[], apply: (link: Link) => void): ActiveFault => {
+const applyToLinks = (links: readonly Link[], apply: (link: Link) => void): ActiveFault => {
 	for (const link of links) {
 		apply(link);
 	}
@@ -70,38 +70,38 @@
 	};
 };
 
-/** One node cut from another one, or from all, in both directions or one. */
-const linkFault = ({cluster, touch, fault: {draw, kind}}: FaultContext): ActiveFault => {
-	const nodeId = pick(allNodeIds(cluster), draw);
+/** Partitions a node from one other node or from all, in both directions or in one. */
+const linkFault = ({cluster, recordAffected, fault: {draw, kind}}: FaultContext): ActiveFault => {
+	const nodeId = pick(nodeIdsOf(cluster), draw);
 	const links = cluster.links.touching([nodeId]);
 	const chosen = draw % 2 === 0 ? links : [pick(links, draw)];
 	const modes = kind === 'linkOneWayCut' && draw % 3 === 0 ? {forward: 'dropped', backward: 'open'} as const : {forward: 'open', backward: 'dropped'} as const;
-	touch([nodeId, ...chosen.flatMap(({from, to}) => [from, to])]);
-	return onLinks(chosen, ({relay}) => {
+	recordAffected([nodeId, ...chosen.flatMap(({from, to}) => [from, to])]);
+	return applyToLinks(chosen, ({relay}) => {
 		relay.setModes(kind === 'linkCut' ? {forward: 'dropped', backward: 'dropped'} : modes);
 	});
 };
 
-const silentConnection = ({cluster, touch, fault: {draw}}: FaultContext): ActiveFault => {
-	const nodeId = pick(allNodeIds(cluster), draw);
-	touch([nodeId]);
-	return onLinks(cluster.links.touching([nodeId]), ({relay}) => {
+const silenceConnections = ({cluster, recordAffected, fault: {draw}}: FaultContext): ActiveFault => {
+	const nodeId = pick(nodeIdsOf(cluster), draw);
+	recordAffected([nodeId]);
+	return applyToLinks(cluster.links.touching([nodeId]), ({relay}) => {
 		relay.silenceOpenConnections();
 	});
 };
 
-/** One process cannot freeze a part of itself, so everything to and from the node arrives late instead. */
-const frozen = ({cluster, touch, fault: {draw}}: FaultContext): ActiveFault => {
-	const nodeId = pick(allNodeIds(cluster), draw);
-	touch([nodeId]);
-	return onLinks(cluster.links.touching([nodeId]), ({relay}) => {
+/** Simulates a suspended node: a process cannot suspend a part of itself, so everything sent to and from the node is delayed instead. */
+const suspendNode = ({cluster, recordAffected, fault: {draw}}: FaultContext): ActiveFault => {
+	const nodeId = pick(nodeIdsOf(cluster), draw);
+	recordAffected([nodeId]);
+	return applyToLinks(cluster.links.touching([nodeId]), ({relay}) => {
 		relay.setModes({forward: 'held', backward: 'held'});
 	});
 };
 
-const engineFault = ({cluster, touch, fault: {draw}}: FaultContext, faults: EngineFaults): ActiveFault => {
+const engineFault = ({cluster, recordAffected, fault: {draw}}: FaultContext, faults: EngineFaults): ActiveFault => {
 	const [hostId, engine] = pick([...cluster.engines], draw);
-	touch([hostId]);
+	recordAffected([hostId]);
 	Object.assign(engine.faults, faults);
 	return {
 		done: Promise.resolve(), async undo() {
@@ -112,8 +112,8 @@
 	};
 };
 
-const serviceFault = ({touch, cluster: {ledger, agents}}: FaultContext, name: 'isCutAfterRun' | 'isSilent'): ActiveFault => {
-	touch([agents.at(-1)!.nodeId]);
+const serviceFault = ({recordAffected, cluster: {ledger, agents}}: FaultContext, name: 'isCutAfterRun' | 'isSilent'): ActiveFault => {
+	recordAffected([agents.at(-1)!.nodeId]);
 	ledger.faults[name] = true;
 	return {
 		done: Promise.resolve(), async undo() {
@@ -122,13 +122,13 @@
 	};
 };
 
-/** An order or a race, which no node need notice. */
-const ordered = (context: FaultContext, work: (context: FaultContext) => Promise<unknown>): ActiveFault => {
-	context.touch([]);
-	return {done: work(context), undo: nothing};
+/** Runs operator commands or concurrent calls, which are not expected to affect any node. */
+const runOperation = (context: FaultContext, work: (context: FaultContext) => Promise<unknown>): ActiveFault => {
+	context.recordAffected([]);
+	return {done: work(context), undo: noUndo};
 };
 
-const newVersion = async ({cluster, fault: {draw}, name}: FaultContext): Promise<string> => {
+const publishVersion = async ({cluster, fault: {draw}, name}: FaultContext): Promise<string> => {
 	const {manifestId, digest} = pick(cluster.manifests, draw);
 	const versionId = `pitch-desk:${name}`;
 	cluster.history.record({type: 'versionPublished', versionId, digest});
@@ -139,22 +139,22 @@
 
 const corruptChunks = (context: FaultContext): ActiveFault => {
 	const {faults} = context.cluster.origin;
-	context.touch([]);
+	context.recordAffected([]);
 	faults.isCorrupting = true;
 	return {
-		done: newVersion(context), async undo() {
+		done: publishVersion(context), async undo() {
 			faults.isCorrupting = false;
 		},
 	};
 };
 
-const withdrawInMidLoad = async (context: FaultContext): Promise<void> => {
-	const versionId = await newVersion(context);
+const withdrawDuringLoad = async (context: FaultContext): Promise<void> => {
+	const versionId = await publishVersion(context);
 	await operate(context.cluster, `withdraw version ${versionId}`);
 };
 
-const drained = async ({cluster, touch, fault: {draw}}: FaultContext): Promise<ActiveFault> => {
-	touch([]);
+const drainAgentHost = async ({cluster, recordAffected, fault: {draw}}: FaultContext): Promise<ActiveFault> => {
+	recordAffected([]);
 	const {nodeId} = pick(cluster.agents.slice(0, -1), draw);
 	const outcome = await operate(cluster, `drain host ${nodeId}`);
 	if (outcome.type === 'accepted') {
@@ -163,16 +163,16 @@
 
 	return {
 		done: Promise.resolve(), async undo() {
-			// Work may come from the moment on at which the order is sent.
+			// The host may receive work again from the moment the command is sent.
 			cluster.history.record({type: 'leaveEnded', nodeId});
 			await operate(cluster, `undrain host ${nodeId}`);
 		},
 	};
 };
 
-/** The operator's order: the agent ends by itself, and its host comes back later. */
-const stoppedByOrder = async ({cluster, touch, fault: {draw}}: FaultContext): Promise<ActiveFault> => {
-	touch([]);
+/** Stops a host by an operator command: its agent exits by itself, and the host is started again later. */
+const stopAgentHost = async ({cluster, recordAffected, fault: {draw}}: FaultContext): Promise<ActiveFault> => {
+	recordAffected([]);
 	const handle = pick(cluster.agents.slice(0, -1), draw);
 	const outcome = await operate(cluster, `stop host ${handle.nodeId}`);
 	if (outcome.type === 'accepted') {
@@ -201,26 +201,26 @@
 	await Promise.all([0, 1, 0, 1].map(async (entry, racer) => operate(cluster, `create model race-${name}-${racer}`, {entry, ifRevision}).catch(() => undefined)));
 };
 
-const resendCall = async ({cluster, name}: FaultContext): Promise<void> => {
+const resendBooking = async ({cluster, name}: FaultContext): Promise<void> => {
 	const key = `key-twice-${name}`;
 	await Promise.all([0, 1, 0, 1].map(async (position, resend) => callThrough(cluster, {callId: `${key}-${resend}`, target: booking(key), position})));
 };
 
-/** Begins one fault and says how to take it back. */
-export const beginFault = async (context: FaultContext): Promise<ActiveFault> => {
+/** Starts one fault; the result reverts it. */
+export const startFault = async (context: FaultContext): Promise<ActiveFault> => {
 	const {cluster, fault: {kind, draw}} = context;
 	return match(kind)
-		.with('controlKill', async () => killed(context, pick(cluster.controls, draw)))
-		.with('leaderKill', async () => killed(context, cluster.controls.find(control => control.node()?.isLeader()) ?? cluster.controls[0]!))
-		.with('entryKill', async () => killed(context, pick(cluster.entries, draw)))
-		.with('agentKill', async () => killed(context, pick(cluster.agents, draw)))
-		.with('ledgerAgentKill', async () => killed(context, cluster.agents.at(-1)!))
-		.with('agentLost', async () => lost(context, pick(cluster.agents, draw)))
-		.with('ledgerAgentLost', async () => lost(context, cluster.agents.at(-1)!))
-		.with('controlLost', async () => lost(context, pick(cluster.controls, draw)))
+		.with('controlKill', async () => killNode(context, pick(cluster.controls, draw)))
+		.with('leaderKill', async () => killNode(context, cluster.controls.find(control => control.node()?.isLeader()) ?? cluster.controls[0]!))
+		.with('entryKill', async () => killNode(context, pick(cluster.entries, draw)))
+		.with('agentKill', async () => killNode(context, pick(cluster.agents, draw)))
+		.with('ledgerAgentKill', async () => killNode(context, cluster.agents.at(-1)!))
+		.with('agentLost', async () => loseNode(context, pick(cluster.agents, draw)))
+		.with('ledgerAgentLost', async () => loseNode(context, cluster.agents.at(-1)!))
+		.with('controlLost', async () => loseNode(context, pick(cluster.controls, draw)))
 		.with('linkCut', 'linkOneWayCut', () => linkFault(context))
-		.with('connectionSilent', () => silentConnection(context))
-		.with('nodeFrozen', () => frozen(context))
+		.with('connectionSilent', () => silenceConnections(context))
+		.with('nodeFrozen', () => suspendNode(context))
 		.with('engineStall', () => engineFault(context, {stallMs: 100}))
 		.with('engineCut', () => engineFault(context, {cutAfterTokens: 2}))
 		.with('engineCrossed', () => engineFault(context, {isCrossed: true}))
@@ -228,14 +228,14 @@
 		.with('serviceCutAfterRun', () => serviceFault(context, 'isCutAfterRun'))
 		.with('serviceSilent', () => serviceFault(context, 'isSilent'))
 		.with('chunkCorrupted', () => corruptChunks(context))
-		.with('versionLoad', () => ordered(context, newVersion))
-		.with('versionWithdraw', () => ordered(context, withdrawInMidLoad))
-		.with('hostDrain', async () => drained(context))
-		.with('hostStop', async () => stoppedByOrder(context))
-		.with('agentStop', async () => stopped(context, pick(cluster.agents, draw)))
-		.with('entryStop', async () => stopped(context, pick(cluster.entries, draw)))
-		.with('commandResent', () => ordered(context, resendCommand))
-		.with('operatorsRacing', () => ordered(context, raceOperators))
-		.with('callResent', () => ordered(context, resendCall))
+		.with('versionLoad', () => runOperation(context, publishVersion))
+		.with('versionWithdraw', () => runOperation(context, withdrawDuringLoad))
+		.with('hostDrain', async () => drainAgentHost(context))
+		.with('hostStop', async () => stopAgentHost(context))
+		.with('agentStop', async () => stopNode(context, pick(cluster.agents, draw)))
+		.with('entryStop', async () => stopNode(context, pick(cluster.entries, draw)))
+		.with('commandResent', () => runOperation(context, resendCommand))
+		.with('operatorsRacing', () => runOperation(context, raceOperators))
+		.with('callResent', () => runOperation(context, resendBooking))
 		.exhaustive();
 };
--- a/packages/bench/src/chaos/goodput.ts
+++ b/packages/bench/src/chaos/goodput.ts
@@ -2,11 +2,11 @@
 
 export type Tally = {
 	requests: number;
-	/** How often each kind of fault came up. */
+	/** Number of faults of each kind. */
 	readonly faults: Record<string, number>;
-	/** Calls under way during a fault of a kind, and those of them that got a whole answer. */
+	/** By kind of fault: the calls in flight during such a fault, and those of them that received a complete answer. */
 	readonly during: Record<string, {calls: number; whole: number}>;
-	/** How calls ended. */
+	/** Number of calls by outcome. */
 	readonly outcomes: Record<string, number>;
 };
 
@@ -25,12 +25,12 @@
 	addCounts(total.faults, tally.faults);
 	addCounts(total.outcomes, tally.outcomes);
 	for (const [kind, {calls, whole}] of Object.entries(tally.during)) {
-		const seen = total.during[kind] ?? {calls: 0, whole: 0};
-		total.during[kind] = {calls: seen.calls + calls, whole: seen.whole + whole};
+		const kindCounts = total.during[kind] ?? {calls: 0, whole: 0};
+		total.during[kind] = {calls: kindCounts.calls + calls, whole: kindCounts.whole + whole};
 	}
 };
 
-/** Adds one cluster's history. */
+/** Adds the history of one cluster to a tally. */
 export const addHistory = (tally: Tally, events: readonly HistoryEvent[]): void => {
 	const ends = new Map(eventsOf(events, 'callEnded').map(end => [end.callId, end]));
 	const faultEnds = new Map(eventsOf(events, 'faultEnded').map(({faultId, atMs}) => [faultId, atMs]));
@@ -46,15 +46,15 @@
 		tally.outcomes[outcome] = (tally.outcomes[outcome] ?? 0) + 1;
 		const kinds = new Set(faults.filter(fault => fault.atMs <= (end?.atMs ?? Number.POSITIVE_INFINITY) && fault.endMs >= call.atMs).map(fault => fault.kind));
 		for (const kind of kinds) {
-			const seen = tally.during[kind] ?? {calls: 0, whole: 0};
-			seen.calls++;
-			seen.whole += outcome === 'answered' ? 1 : 0;
-			tally.during[kind] = seen;
+			const kindCounts = tally.during[kind] ?? {calls: 0, whole: 0};
+			kindCounts.calls++;
+			kindCounts.whole += outcome === 'answered' ? 1 : 0;
+			tally.during[kind] = kindCounts;
 		}
 	}
 };
 
-/** Share of calls that got a whole answer, by kind of fault. */
+/** Returns the share of calls that received a complete answer, by kind of fault. */
 export const goodputOf = ({during}: Tally): Record<string, number> => Object.fromEntries(Object.entries(during)
 	.toSorted(([a], [b]) => a.localeCompare(b))
 	.map(([kind, {calls, whole}]) => [kind, Math.round(whole / calls * 1000) / 1000]));
--- a/packages/bench/src/chaos/run-clusters.ts
+++ b/packages/bench/src/chaos/run-clusters.ts
@@ -14,33 +14,33 @@
 
 const sampleMs = 50;
 
-const lineOf = ({schedule}: ScheduleRun): string => `  schedule ${schedule.number}: ${JSON.stringify(schedule.faults)}`;
+const formatSchedule = ({schedule}: ScheduleRun): string => `  schedule ${schedule.number}: ${JSON.stringify(schedule.faults)}`;
 
-const report = (cluster: FailureCluster, runs: readonly ScheduleRun[], findings: Findings): void => {
+const addClusterFindings = (cluster: FailureCluster, runs: readonly ScheduleRun[], findings: Findings): void => {
 	addHistory(findings.tally, cluster.history.events);
 	for (const run of runs) {
 		for (const problem of [...run.hangs, ...run.errors]) {
 			findings.hangs++;
-			findings.lines.push(`hang: ${problem}`, lineOf(run));
+			findings.lines.push(`hang: ${problem}`, formatSchedule(run));
 		}
 	}
 
 	for (const violation of checkHistory(cluster.history.events)) {
 		findings.violations++;
 		const during = runs.filter(run => run.startedAtMs <= violation.atMs && run.endedAtMs >= violation.atMs);
-		findings.lines.push(`violation: ${violation.type} at ${Math.round(violation.atMs)} ms: ${violation.detail}`, ...during.map(run => lineOf(run)));
+		findings.lines.push(`violation: ${violation.type} at ${Math.round(violation.atMs)} ms: ${violation.detail}`, ...during.map(run => formatSchedule(run)));
 	}
 };
 
-/** What an operator would look at first. */
-const describe = async (cluster: FailureCluster): Promise<string[]> => Promise.all(['show revision', 'show hosts', 'show replicas', 'show transfers'].map(async line => {
+/** Returns the state that an operator would inspect first. */
+const describeCluster = async (cluster: FailureCluster): Promise<string[]> => Promise.all(['show revision', 'show hosts', 'show replicas', 'show transfers'].map(async line => {
 	const rows = await queryRows(cluster, line);
 	return `  ${line}: ${JSON.stringify(rows)}`;
 }));
 
-/** One cluster takes schedules until there are none left; one that does not recover is replaced. */
-const runCluster = async (left: Schedule[], findings: Findings): Promise<void> => {
-	while (left.length > 0) {
+/** Runs schedules on one cluster until none are left; a cluster that does not recover is replaced. */
+const runCluster = async (pending: Schedule[], findings: Findings): Promise<void> => {
+	while (pending.length > 0) {
 		const cluster = await createFailureCluster();
 		const sampling = setInterval(() => {
 			cluster.sampleHosts();
@@ -50,7 +50,7 @@
 			await loadFirstVersion(cluster);
 		} catch (error) {
 			findings.hangs++;
-			findings.lines.push(`hang before any fault: ${(error as Error).message}`, ...await describe(cluster));
+			findings.lines.push(`hang before any fault: ${(error as Error).message}`, ...await describeCluster(cluster));
 			clearInterval(sampling);
 			await cluster.close();
 			continue;
@@ -58,14 +58,14 @@
 
 		try {
 			let isBroken = false;
-			while (left.length > 0 && !isBroken) {
-				const run = await runSchedule(cluster, left.shift()!);
+			while (pending.length > 0 && !isBroken) {
+				const run = await runSchedule(cluster, pending.shift()!);
 				runs.push(run);
 				isBroken = run.hangs.length > 0;
 			}
 		} finally {
 			clearInterval(sampling);
-			report(cluster, runs, findings);
+			addClusterFindings(cluster, runs, findings);
 			await cluster.close();
 		}
 	}
@@ -73,10 +73,10 @@
 
 export type RunClustersOptions = {readonly schedules: readonly Schedule[]; readonly clusters: number};
 
-/** Runs all schedules on a few clusters side by side. */
+/** Runs all schedules on several clusters in parallel. */
 export const runClusters = async ({schedules, clusters}: RunClustersOptions): Promise<Findings> => {
-	const left = [...schedules];
+	const pending = [...schedules];
 	const findings = createFindings();
-	await Promise.all(Array.from({length: Math.min(clusters, left.length)}, async () => runCluster(left, findings)));
+	await Promise.all(Array.from({length: Math.min(clusters, pending.length)}, async () => runCluster(pending, findings)));
 	return findings;
 };
--- a/packages/bench/src/chaos/run-schedule.ts
+++ b/packages/bench/src/chaos/run-schedule.ts
@@ -1,16 +1,16 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import type {FailureCluster} from '@bitternpaddle/daemon';
 import {eventsOf, type CallOutcome} from '@bitternpaddle/test-support';
-import {beginFault, type ActiveFault} from './faults.js';
+import {startFault, type ActiveFault} from './faults.js';
 import type {PlannedFault, Schedule} from './schedule.js';
 import {booking, callThrough, startTraffic} from './traffic.js';
 
-/** How one schedule went, apart from what the history says. */
+/** The result of one schedule, apart from the recorded history. */
 export type ScheduleRun = {
 	readonly schedule: Schedule;
 	readonly startedAtMs: number;
 	readonly endedAtMs: number;
-	/** What did not end, or did not come back, in time. */
+	/** Descriptions of what did not finish or recover in time. */
 	readonly hangs: readonly string[];
 	readonly errors: readonly string[];
 };
@@ -21,8 +21,8 @@
 
 type Problems = {readonly hangs: string[]; readonly errors: string[]};
 
-/** Waits for `work`, but not for ever; a hang is told, not thrown. */
-const within = async (what: string, work: Promise<unknown>, {hangs, errors}: Problems): Promise<void> => {
+/** Waits for `work` up to a timeout; records a hang or an error instead of throwing. */
+const awaitWithTimeout = async (what: string, work: Promise<unknown>, {hangs, errors}: Problems): Promise<void> => {
 	const timeout = new AbortController();
 	const result = await Promise.race([
 		work.then(() => 'done', (error: unknown) => {
@@ -42,9 +42,9 @@
 	const {kind} = fault;
 	await delay(fault.startMs);
 	let active: ActiveFault | undefined;
-	await within(`${kind} begins`, (async () => {
-		active = await beginFault({
-			cluster, fault, name, touch(nodeIds) {
+	await awaitWithTimeout(`start of ${kind}`, (async () => {
+		active = await startFault({
+			cluster, fault, name, recordAffected(nodeIds) {
 				history.record({
 					type: 'faultStarted', faultId: name, kind, nodeIds,
 				});
@@ -53,17 +53,17 @@
 	})(), problems);
 	await delay(fault.durationMs);
 	if (active !== undefined) {
-		await within(`${kind} is taken back`, active.undo(), problems);
-		await within(`${kind} ends what it started`, active.done, problems);
+		await awaitWithTimeout(`reverting ${kind}`, active.undo(), problems);
+		await awaitWithTimeout(`completing the work started by ${kind}`, active.done, problems);
 	}
 
 	history.record({type: 'faultEnded', faultId: name});
 };
 
-/** Whether both entries serve the model and the ledger again. */
-const recover = async (cluster: FailureCluster, name: string): Promise<boolean> => {
-	const endAtMs = performance.now() + recoveryMs;
-	for (let attempt = 0; performance.now() < endAtMs; attempt++) {
+/** Waits until both entries serve the model and the ledger again; returns false on a timeout. */
+const waitForRecovery = async (cluster: FailureCluster, name: string): Promise<boolean> => {
+	const deadlineAtMs = performance.now() + recoveryMs;
+	for (let attempt = 0; performance.now() < deadlineAtMs; attempt++) {
 		const callId = `${name}-probe-${attempt}`;
 		const outcomes = await Promise.all(cluster.entries.flatMap((_, position) => [
 			callThrough(cluster, {
@@ -85,20 +85,20 @@
 
 const conflictStatus = 409;
 
-/** Keys whose callers are still held off by a call that has ended; resent until each has a final answer. */
+/** Retries the conflicting keys until each has a final answer; returns those that a finished call still blocks after the timeout. */
 const findStuckKeys = async (cluster: FailureCluster, name: string): Promise<string[]> => {
-	let open = conflictingKeys(cluster, name);
-	const endAtMs = performance.now() + recoveryMs;
-	for (let attempt = 0; open.length > 0 && performance.now() < endAtMs; attempt++) {
+	let conflicting = conflictingKeys(cluster, name);
+	const deadlineAtMs = performance.now() + recoveryMs;
+	for (let attempt = 0; conflicting.length > 0 && performance.now() < deadlineAtMs; attempt++) {
 		await delay(probePauseMs);
-		await Promise.all(open.map(async key => callThrough(cluster, {callId: `${key}-late-${attempt}`, target: booking(key), position: attempt})));
-		open = conflictingKeys(cluster, name);
+		await Promise.all(conflicting.map(async key => callThrough(cluster, {callId: `${key}-late-${attempt}`, target: booking(key), position: attempt})));
+		conflicting = conflictingKeys(cluster, name);
 	}
 
-	return open;
+	return conflicting;
 };
 
-/** Keys of this schedule whose last call was refused because of another one. */
+/** Returns the keys of this schedule whose last call was refused because of a conflict with another call. */
 const conflictingKeys = ({history: {events}}: FailureCluster, name: string): string[] => {
 	const keys = new Map(eventsOf(events, 'callStarted').filter(call => call.key?.includes(`-${name}-`) ?? false).map(call => [call.callId, call.key!]));
 	const last = new Map<string, CallOutcome>();
@@ -112,21 +112,21 @@
 	return [...last].filter(([, outcome]) => outcome.type === 'refused' && outcome.status === conflictStatus).map(([key]) => key);
 };
 
-/** Runs the faults of one schedule under traffic, and waits until the system serves as before. */
+/** Runs the faults of one schedule under traffic, and waits until the system has recovered. */
 export const runSchedule = async (cluster: FailureCluster, schedule: Schedule): Promise<ScheduleRun> => {
 	const startedAtMs = performance.now();
 	const problems: Problems = {hangs: [], errors: []};
 	const name = `s${schedule.number}`;
 	const traffic = startTraffic(cluster, {name});
 	await Promise.all(schedule.faults.map(async (fault, index) => runFault(cluster, fault, `${name}-f${index}`, problems)));
-	await within('traffic ends', traffic.stop(), problems);
+	await awaitWithTimeout('stopping the traffic', traffic.stop(), problems);
 	cluster.links.heal();
-	if (!await recover(cluster, name)) {
-		problems.hangs.push('the system does not serve again');
+	if (!await waitForRecovery(cluster, name)) {
+		problems.hangs.push('the system did not recover');
 	}
 
 	for (const key of await findStuckKeys(cluster, name)) {
-		problems.hangs.push(`a resend of ${key} is told "in progress" although nothing is`);
+		problems.hangs.push(`a retry of ${key} is refused as in progress although no call is running`);
 	}
 
 	return {
--- a/packages/bench/src/chaos/schedule.ts
+++ b/packages/bench/src/chaos/schedule.ts
@@ -32,39 +32,40 @@
 ] as const;
 export type FaultKind = typeof faultKinds[number];
 
-/** One fault of a schedule. `draw` picks its victims among those that there are. */
+/** One fault of a schedule. `draw` selects its targets among the available nodes. */
 export type PlannedFault = {readonly kind: FaultKind; readonly startMs: number; readonly durationMs: number; readonly draw: number};
 
 export type Schedule = {readonly number: number; readonly faults: readonly PlannedFault[]};
 
 const lastStartMs = 300;
-const shortestMs = 200;
-const longestMs = 800;
-/** Beyond the lease of a host, so that what was cut off stops serving. */
+const minDurationMs = 200;
+const maxDurationMs = 800;
+/** Longer than the lease of a host, so that a partitioned host stops serving. */
 const longFaultMs = 4000;
-const longShare = 10;
-const largestDraw = 1_000_000;
+const longFaultOneIn = 10;
+const maxDraw = 1_000_000;
 
 /**
- * Draws schedules of one to three faults that overlap, in half of them with
- * the same draw, so that they often meet on one node. Kinds are dealt like
- * cards, so that each one comes up about equally often in any run.
+ * Generates random schedules of one to three overlapping faults. Half of the schedules
+ * use the same draw for all faults, so that they often hit one node. Kinds are drawn
+ * without replacement until all are used, so that each occurs about equally often in
+ * any run.
  */
-export const drawSchedules = (random: Random, count: number): Schedule[] => {
-	let deck: FaultKind[] = [];
-	const deal = (): FaultKind => {
-		deck = deck.length === 0 ? [...faultKinds] : deck;
-		return deck.splice(random.between(0, deck.length - 1), 1)[0]!;
+export const createSchedules = (random: Random, count: number): Schedule[] => {
+	let remainingKinds: FaultKind[] = [];
+	const drawKind = (): FaultKind => {
+		remainingKinds = remainingKinds.length === 0 ? [...faultKinds] : remainingKinds;
+		return remainingKinds.splice(random.between(0, remainingKinds.length - 1), 1)[0]!;
 	};
 
-	const drawFaults = (): PlannedFault[] => {
-		const isLong = random.between(1, longShare) === 1;
-		const sameVictim = random.between(0, 1) === 1 ? random.between(0, largestDraw) : null;
+	const createFaults = (): PlannedFault[] => {
+		const isLong = random.between(1, longFaultOneIn) === 1;
+		const sharedDraw = random.between(0, 1) === 1 ? random.between(0, maxDraw) : null;
 		return Array.from({length: random.between(1, 3)}, () => ({
-			kind: deal(), startMs: random.between(0, lastStartMs), draw: sameVictim ?? random.between(0, largestDraw),
-			durationMs: isLong ? longFaultMs : random.between(shortestMs, longestMs),
+			kind: drawKind(), startMs: random.between(0, lastStartMs), draw: sharedDraw ?? random.between(0, maxDraw),
+			durationMs: isLong ? longFaultMs : random.between(minDurationMs, maxDurationMs),
 		}));
 	};
 
-	return Array.from({length: count}, (_, number) => ({number, faults: drawFaults()}));
+	return Array.from({length: count}, (_, number) => ({number, faults: createFaults()}));
 };
--- a/packages/bench/src/chaos/traffic.ts
+++ b/packages/bench/src/chaos/traffic.ts
@@ -3,7 +3,7 @@
 import {recordCall, type CallOutcome, type CallTarget} from '@bitternpaddle/test-support';
 
 export type Traffic = {
-	/** Ends after the calls that are under way. */
+	/** Resolves when the calls in flight have finished. */
 	stop(): Promise<void>;
 };
 
@@ -19,17 +19,17 @@
 const maxResends = 2;
 const resendPauseMs = 50;
 
-/** The balancer in front of the entries leaves out those that are down. */
-export const upEntries = (cluster: FailureCluster): Array<{entryId: string; address: string}> => cluster.entries.flatMap(entry => {
+/** Returns the entries that are running; the load balancer in front of the entries excludes the others. */
+export const runningEntries = (cluster: FailureCluster): Array<{entryId: string; address: string}> => cluster.entries.flatMap(entry => {
 	const node = entry.node();
 	return node === undefined ? [] : [{entryId: entry.nodeId, address: node.address}];
 });
 
 export type CallOptions = {readonly callId: string; readonly target: CallTarget; readonly position: number};
 
-/** One call through one of the entries that are up; `null` when none is. */
+/** Makes one call through one of the running entries; `null` if none is running. */
 export const callThrough = async (cluster: FailureCluster, {callId, target, position}: CallOptions): Promise<CallOutcome | null> => {
-	const entries = upEntries(cluster);
+	const entries = runningEntries(cluster);
 	const entry = entries[position % Math.max(1, entries.length)];
 	return entry === undefined
 		? null
@@ -40,8 +40,8 @@
 
 export const booking = (key: string): CallTarget => ({type: 'service', serviceId: 'ledger', key});
 
-/** Resends a booking through the other entry while nobody can say that it has run. */
-const book = async (cluster: FailureCluster, key: string, position: number): Promise<void> => {
+/** Retries a booking through the other entry until an answer confirms that it has run, at most `maxResends` times. */
+const sendBooking = async (cluster: FailureCluster, key: string, position: number): Promise<void> => {
 	for (let resend = 0; resend <= maxResends; resend++) {
 		const outcome = await callThrough(cluster, {callId: `${key}-${resend}`, target: booking(key), position: position + resend});
 		if (outcome?.type === 'answered') {
@@ -52,15 +52,15 @@
 	}
 };
 
-/** Callers that ask one thing after another: streams, whole answers, and every third one bookings. */
+/** Starts callers that send one call after another: every third call is a booking, the others are streamed or complete model answers. */
 export const startTraffic = (cluster: FailureCluster, {name, callers = 3, pauseMs = 15}: TrafficOptions): Traffic => {
 	let isStopping = false;
 	const isRunning = (): boolean => !isStopping;
-	const loops = Array.from({length: callers}, async (_, caller) => {
+	const callerLoops = Array.from({length: callers}, async (_, caller) => {
 		for (let number = 0; isRunning(); number++) {
 			const callId = `${name}-${caller}-${number}`;
 			if ((number + caller) % 3 === 0) {
-				await book(cluster, `key-${callId}`, number);
+				await sendBooking(cluster, `key-${callId}`, number);
 			} else {
 				await callThrough(cluster, {
 					callId, position: number, target: {
@@ -75,7 +75,7 @@
 	return {
 		async stop() {
 			isStopping = true;
-			await Promise.all(loops);
+			await Promise.all(callerLoops);
 		},
 	};
 };
--- a/packages/bench/src/control/claims.ts
+++ b/packages/bench/src/control/claims.ts
@@ -9,75 +9,75 @@
 
 type Outcome = Extract<Change, {type: 'concludeClaim'}>['outcome'];
 
-/** A ledger as an older snapshot holds it: claims made a millisecond apart, all with kept answers that fill the bound on bodies. */
+/** Creates a ledger as restored from an older snapshot: claims one millisecond apart, all with retained answers that fill the limit on bodies. */
 const createFullLedger = (claims: number, body: string): Ledger => {
 	const order = Array.from({length: claims}, (_, index) => ({key: keyOf(index), atMs: index}));
 	const {claimCount: _, starts: __, ...empty} = createLedger();
 	return {
 		...empty,
 		claims: Object.fromEntries(order.map(({key, atMs}) => [key, {
-			requestId: `request-${atMs}`, bodyDigest: 'digest', atMs, place: null, state: ranWith(body),
+			requestId: `request-${atMs}`, bodyDigest: 'digest', atMs, place: null, state: createRanOutcome(body),
 		}])),
 		claimOrder: order, claimBodies: order.map(({key}) => key), claimBodyBytes: claims * body.length, claimClockMs: claims,
 	};
 };
 
-const ranWith = (body: string) => ({
+const createRanOutcome = (body: string) => ({
 	type: 'ran' as const, status: 200, contentType: 'application/json', body,
 }) satisfies Outcome;
 
-const nameOf = (index: number) => ({
+const claimNameOf = (index: number) => ({
 	teamId: teamId('marshals'), serviceId: serviceId('ledger'), key: idempotencyKey(`booking-${index}`), requestId: requestId(`request-${index}`),
 });
 
-/** Microseconds of one step, the median of those that follow the warm-up. */
+/** Returns the median microseconds of a step, without the warm-up steps. */
 const medianMicros = (step: (position: number) => void): number => {
 	const micros: number[] = [];
 	for (let position = 0; position < warmUpClaims + claimsPerCase; position++) {
-		const beganAtMs = performance.now();
+		const startedAtMs = performance.now();
 		step(position);
-		micros.push((performance.now() - beganAtMs) * 1000);
+		micros.push((performance.now() - startedAtMs) * 1000);
 	}
 
 	const sorted = micros.slice(warmUpClaims).toSorted((a, b) => a - b);
 	return Math.round(sorted[Math.floor(sorted.length / 2)]! * 10) / 10;
 };
 
-const measureAt = (claims: number) => {
+const measureLedgerSize = (claims: number) => {
 	const body = 'x'.repeat(Math.floor(claimLimits.maxBodyBytes / claims));
-	const added = createFullLedger(claims, body);
-	const aged = createFullLedger(claims, body);
+	const withoutEviction = createFullLedger(claims, body);
+	const withEviction = createFullLedger(claims, body);
 	const answered = createFullLedger(claims, body);
 	const claim = (ledger: Ledger, index: number, atMs: number): void => {
 		const result = applyClaim(ledger, {
-			type: 'claim', ...nameOf(index), bodyDigest: 'digest', atMs, place: null,
+			type: 'claim', ...claimNameOf(index), bodyDigest: 'digest', atMs, place: null,
 		});
 		if (result.type !== 'claimed') {
-			throw new Error(`claim ${index} of ${claims} got ${JSON.stringify(result)}`);
+			throw new Error(`claim ${index} of ${claims} was not accepted: ${JSON.stringify(result)}`);
 		}
 	};
 
 	return {
-		/** Nothing is forgotten. */
+		/** No claim is evicted. */
 		claimMicros: medianMicros(position => {
-			claim(added, claims + position, claims);
+			claim(withoutEviction, claims + position, claims);
 		}),
-		/** Each new claim is the end of the oldest one. */
+		/** Each new claim evicts the oldest one. */
 		forgettingClaimMicros: medianMicros(position => {
-			claim(aged, claims + position, claimLimits.keptMs + 1 + position);
+			claim(withEviction, claims + position, claimLimits.keptMs + 1 + position);
 		}),
-		/** A claim and its answer, for which the oldest body goes. */
+		/** A claim and its answer, for which the oldest body is evicted. */
 		claimAndAnswerMicros: medianMicros(position => {
 			claim(answered, claims + position, claims);
 			concludeClaim(answered, {
-				type: 'concludeClaim', ...nameOf(claims + position), attemptId: null, outcome: ranWith(body),
+				type: 'concludeClaim', ...claimNameOf(claims + position), attemptId: null, outcome: createRanOutcome(body),
 			}, claims + position);
 		}),
 	};
 };
 
-/** What one claim costs in ledgers of different sizes; the state's step alone, without the log. */
+/** Measures what one claim costs in ledgers of different sizes: only applying it to the state, without the log. */
 export const measureClaims = async (): Promise<Record<string, unknown>> => ({
-	claims: Object.fromEntries(sizes.map(claims => [claims, measureAt(claims)])),
+	claims: Object.fromEntries(sizes.map(claims => [claims, measureLedgerSize(claims)])),
 	unit: 'microseconds, median', claimsPerCase,
 });
--- a/packages/bench/src/control/control-processes.ts
+++ b/packages/bench/src/control/control-processes.ts
@@ -13,14 +13,14 @@
 
 type Readiness = {readonly isReady: boolean; readonly leaderId: string | null; readonly revision: number};
 
-/** Control hosts as processes of their own, which can be killed. */
+/** Control hosts that each run in their own process, so that they can be killed. */
 export type ControlProcesses = {
 	readonly addresses: ReadonlyMap<string, string>;
 	readiness(hostId: string): Promise<Readiness | null>;
 	leader(): Promise<string>;
 	kill(hostId: string): Promise<void>;
-	/** Sends the signal and waits for the end. */
-	end(hostId: string, signal: 'SIGTERM' | 'SIGKILL'): Promise<void>;
+	/** Sends the signal and waits for the process to exit. */
+	terminate(hostId: string, signal: 'SIGTERM' | 'SIGKILL'): Promise<void>;
 	start(hostId: string): void;
 	close(): Promise<void>;
 };
@@ -35,8 +35,8 @@
 		const flags = {
 			roles: 'control', 'host-id': hostId, listen: addresses.get(hostId)!, controls, 'data-folder': path.join(folder, hostId), 'log-level': 'error',
 		};
-		const flagTexts = Object.entries(flags).flatMap(([name, value]) => [`--${name}`, value]);
-		children.set(hostId, spawn(process.execPath, [daemonFile, 'run', ...flagTexts], {stdio: ['ignore', 'ignore', 'inherit']}));
+		const flagArguments = Object.entries(flags).flatMap(([name, value]) => [`--${name}`, value]);
+		children.set(hostId, spawn(process.execPath, [daemonFile, 'run', ...flagArguments], {stdio: ['ignore', 'ignore', 'inherit']}));
 	};
 
 	const readiness = async (hostId: string): Promise<Readiness | null> => {
@@ -51,7 +51,7 @@
 		}
 	};
 
-	const end = async (hostId: string, signal: 'SIGTERM' | 'SIGKILL'): Promise<void> => {
+	const terminate = async (hostId: string, signal: 'SIGTERM' | 'SIGKILL'): Promise<void> => {
 		const child = children.get(hostId);
 		children.delete(hostId);
 		if (child === undefined) {
@@ -65,7 +65,7 @@
 		await exited;
 	};
 
-	const kill = async (hostId: string): Promise<void> => end(hostId, 'SIGKILL');
+	const kill = async (hostId: string): Promise<void> => terminate(hostId, 'SIGKILL');
 
 	for (const hostId of addresses.keys()) {
 		start(hostId);
@@ -76,7 +76,7 @@
 		return all.every(one => one?.isReady);
 	});
 	return {
-		addresses, readiness, kill, end, start,
+		addresses, readiness, kill, terminate, start,
 		async leader() {
 			for (;;) {
 				for (const hostId of children.keys()) {
--- a/packages/bench/src/control/control.ts
+++ b/packages/bench/src/control/control.ts
@@ -14,7 +14,7 @@
 import {createCountingProxy} from './counting-proxy.js';
 
 const kills = 20;
-/** Commands that are under way around a stop, and for how long before and after it. */
+/** Number of concurrent commands around a stop, and how long they run before and after it. */
 const gapProposers = 4;
 const gapMarginMs = 300;
 const hosts = 200;
@@ -30,7 +30,7 @@
 	params: {command: {commandId: commandId(name), ifRevision: null, change: {type: 'createModel', modelId: modelId(name)}}},
 });
 
-/** Sends one change until some control host accepts it; gives its revision. */
+/** Sends one change until a control host accepts it; returns its revision. */
 const propose = async (addresses: readonly string[], timeoutMs = 1000): Promise<number> => {
 	proposed++;
 	const name = `model-${proposed}`;
@@ -104,15 +104,15 @@
 			}
 
 			for (const {reachedAtMs} of watchers) {
-				const at = [...reachedAtMs].find(([seen]) => seen >= revision)![1];
-				histogram.recordValue(Math.max(1, Math.round(at - sentAtMs)));
+				const reachedAt = [...reachedAtMs].find(([seen]) => seen >= revision)![1];
+				histogram.recordValue(Math.max(1, Math.round(reachedAt - sentAtMs)));
 			}
 
 			await delay(100);
 		}
 
-		const idleShare = idleBytesPerSecond * (performance.now() - startedAtMs) / 1000;
-		return {histogram, bytesPerHostPerChange: Math.round(Math.max(0, proxy.bytes() - beforeBytes - idleShare) / changes)};
+		const idleBytesDuringChanges = idleBytesPerSecond * (performance.now() - startedAtMs) / 1000;
+		return {histogram, bytesPerHostPerChange: Math.round(Math.max(0, proxy.bytes() - beforeBytes - idleBytesDuringChanges) / changes)};
 	} finally {
 		for (const {client} of watchers) {
 			client.close();
@@ -185,21 +185,21 @@
 	};
 };
 
-/** Commands go on without a pause; gives the longest time without an accepted one around the signal to the leader. */
+/** Sends commands continuously; returns the longest time without an accepted command around the signal to the leader. */
 const measureGap = async (group: ControlProcesses, signal: 'SIGTERM' | 'SIGKILL'): Promise<number> => {
 	const leader = await group.leader();
 	const others = [...group.addresses].filter(([hostId]) => hostId !== leader).map(([, address]) => address);
 	const acceptedAtMs: number[] = [];
 	let isOver = false;
-	const proposeOn = async (): Promise<void> => {
+	const proposeRepeatedly = async (): Promise<void> => {
 		await propose(others);
 		acceptedAtMs.push(performance.now());
-		return isOver ? undefined : proposeOn();
+		return isOver ? undefined : proposeRepeatedly();
 	};
 
-	const proposers = Promise.all(Array.from({length: gapProposers}, proposeOn));
+	const proposers = Promise.all(Array.from({length: gapProposers}, proposeRepeatedly));
 	await delay(gapMarginMs);
-	await group.end(leader, signal);
+	await group.terminate(leader, signal);
 	await propose(others);
 	await delay(gapMarginMs);
 	isOver = true;
@@ -209,7 +209,7 @@
 	return Math.round(Math.max(...acceptedAtMs.slice(1).map((atMs, position) => atMs - acceptedAtMs[position]!)));
 };
 
-/** Each signal in turn, so that both see the same machine. */
+/** Alternates between the signals, so that both are measured under the same load of the machine. */
 const measureStops = async (group: ControlProcesses): Promise<{SIGTERM: number[]; SIGKILL: number[]}> => {
 	const gaps: {SIGTERM: number[]; SIGKILL: number[]} = {SIGTERM: [], SIGKILL: []};
 	for (let round = 0; round < kills; round++) {
@@ -221,9 +221,9 @@
 	return gaps;
 };
 
-type Part = (group: ControlProcesses) => Promise<Record<string, unknown>>;
+type Measurement = (group: ControlProcesses) => Promise<Record<string, unknown>>;
 
-const parts: Record<string, Part> = {
+const parts: Record<string, Measurement> = {
 	async failover(group) {
 		const {p50, worst, all} = await measureFailover(group);
 		console.log('failover', all);
@@ -252,8 +252,9 @@
 };
 
 /**
- * Control alone: losing the leader, stopping it, a change's way to all hosts, a restart
- * after many changes, and group commit. `--parts` picks some of them.
+ * Measures control in isolation: loss of the leader, stopping the leader, propagation of
+ * a change to all hosts, a restart after many changes, and group commit. `--parts`
+ * selects some of them.
  */
 export const measureControl = async (flags: readonly string[]): Promise<Record<string, unknown>> => {
 	const {values} = parseArgs({args: [...flags], options: {parts: {type: 'string', default: Object.keys(parts).join(',')}}});
--- a/packages/bench/src/control/counting-proxy.ts
+++ b/packages/bench/src/control/counting-proxy.ts
@@ -5,12 +5,12 @@
 
 export type CountingProxy = {readonly address: string; bytes(): number; close(): void};
 
-/** Passes connections on to `target` and counts the bytes of both directions. */
+/** Relays connections to `target` and counts the bytes in both directions. */
 export const createCountingProxy = async (target: string): Promise<CountingProxy> => {
 	const {host, port} = parseAddress(target);
 	const sockets = new Set<Socket>();
 	let bytes = 0;
-	const pass = (from: Socket, to: Socket): void => {
+	const relay = (from: Socket, to: Socket): void => {
 		sockets.add(from);
 		from.on('data', (data: Uint8Array) => {
 			bytes += data.length;
@@ -25,8 +25,8 @@
 
 	const server = createServer(client => {
 		const upstream = connect(port, host);
-		pass(client, upstream);
-		pass(upstream, client);
+		relay(client, upstream);
+		relay(upstream, client);
 	});
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
