--- a/packages/bench/src/distribution/chosen-policy.ts
+++ b/packages/bench/src/distribution/agent-policy.ts
@@ -4,8 +4,8 @@
 
 const manifestId = 'bench';
 
-/** The policy of the agents, unchanged. */
-export const createChosen: CreatePolicy = ({self, peers, random, originCopies}) => {
+/** The policy that the agents run, unmodified; results call it `chosen`. */
+export const createAgentPolicy: CreatePolicy = ({self, peers, random, originCopies}) => {
 	const {state, effects} = createSwarm({
 		self, peers, random, originCopies, manifestId, totalChunks, held: [], nowMs: 0,
 	});
--- a/packages/bench/src/distribution/index.ts
+++ b/packages/bench/src/distribution/index.ts
@@ -1,5 +1,5 @@
 import process from 'node:process';
-import {createChosen} from './chosen-policy.js';
+import {createAgentPolicy} from './agent-policy.js';
 import {createRandomSwarm} from './random-policy.js';
 import {floorMs, totalChunks, type RunOptions} from './scenario.js';
 import {createOriginOnly, createTree} from './static-policies.js';
@@ -11,47 +11,47 @@
 	readonly link: RunOptions['mode'];
 	readonly scenario: RunOptions['scenario'];
 	readonly originBudgetCopies: number;
-	/** `null`: that share of the hosts never had the version. */
+	/** Time until half of the hosts had the version, relative to the lower bound; `null` if that share never had it. */
 	readonly p50OverFloor: number | null;
 	readonly p99OverFloor: number | null;
 	readonly allOverFloor: number | null;
 	readonly originCopies: number;
-	/** Time until all living hosts had it, in virtual seconds. */
+	/** Virtual seconds until all running hosts had the version; `null` if some never had it. */
 	readonly allSeconds: number | null;
 	readonly originGigabytes: number;
-	/** Messages about chunks for each chunk and host. */
+	/** Announcements of chunks per chunk and host. */
 	readonly announcementsPerChunk: number;
 	readonly chosen: boolean;
 };
 
 const policies: Record<string, CreatePolicy> = {
-	chosen: createChosen,
+	chosen: createAgentPolicy,
 	'random swarm': createRandomSwarm,
 	'binary tree': createTree(2),
 	chain: createTree(1),
 	'origin-only': createOriginOnly,
 };
 
-/** With more hosts its requests to busy neighbours take too long to simulate; it is run when asked for by `--policies`. */
+/** With more hosts, requests of the random swarm to busy neighbours take too long to simulate; then it runs only if `--policies` names it. */
 const randomSwarmHosts = 256;
 
 const defaultSeed = 20_261;
 
 const round = (value: number): number | null => Number.isFinite(value) ? Math.round(value * 1000) / 1000 : null;
 
-/** In the shared case every byte that a host takes from another goes over two links. */
-const floorOf = ({mode, hosts}: RunOptions, originCopies: number): number => mode === 'shared'
+/** Returns the lower bound of the transfer time. With shared links, every byte that a host receives from another host occupies two links. */
+const lowerBoundMs = ({mode, hosts}: RunOptions, originCopies: number): number => mode === 'shared'
 	? Math.max(floorMs, ((2 * hosts) - originCopies) * floorMs / hosts)
 	: floorMs;
 
 const toRow = (policy: string, options: RunOptions, {doneAtMs, originCopies, originBytes, announcements}: RunResult): DistributionRow => {
 	const sorted = doneAtMs.toSorted((a, b) => a - b);
-	const at = (share: number): number => sorted[Math.ceil(sorted.length * share) - 1]!;
-	const overFloor = (share: number): number | null => round(at(share) / floorOf(options, originCopies));
+	const quantileMs = (share: number): number => sorted[Math.ceil(sorted.length * share) - 1]!;
+	const overFloor = (share: number): number | null => round(quantileMs(share) / lowerBoundMs(options, originCopies));
 	return {
 		policy, hosts: options.hosts, link: options.mode, scenario: options.scenario, originBudgetCopies: options.originCopies,
 		p50OverFloor: overFloor(0.5), p99OverFloor: overFloor(0.99), allOverFloor: overFloor(1), originCopies: round(originCopies)!,
-		allSeconds: round(at(1) / 1000), originGigabytes: round(originBytes / 1e9)!,
+		allSeconds: round(quantileMs(1) / 1000), originGigabytes: round(originBytes / 1e9)!,
 		announcementsPerChunk: round(announcements / options.hosts / totalChunks)!, chosen: policy === 'chosen',
 	};
 };
@@ -62,7 +62,7 @@
 };
 
 /**
- * The agents' own decisions over modelled links in virtual time. Flags:
+ * Simulates the agents' own decisions over modelled links in virtual time. Flags:
  * `--hosts=64,256,1500`, `--links=duplex,shared`, `--scenarios=calm,faults`,
  * `--policies=...`, `--budgets=1,4` (only the chosen policy has a budget),
  * `--seed=N`.
@@ -72,8 +72,8 @@
 	const rows: DistributionRow[] = [];
 	process.stdout.write(`seed ${seed}\n`);
 	for (const hosts of listFlag(flags, 'hosts', '64,256,1500').map(Number)) {
-		const shown = Object.keys(policies).filter(policy => policy !== 'random swarm' || hosts <= randomSwarmHosts);
-		for (const policy of listFlag(flags, 'policies', shown.join(','))) {
+		const defaultPolicies = Object.keys(policies).filter(policy => policy !== 'random swarm' || hosts <= randomSwarmHosts);
+		for (const policy of listFlag(flags, 'policies', defaultPolicies.join(','))) {
 			for (const options of listRuns(flags, policy, {hosts, seed})) {
 				rows.push(measureRow(policy, options));
 			}
@@ -83,7 +83,7 @@
 	return {bench: 'distribution', seed, rows};
 };
 
-/** Only the chosen policy knows a budget of origin copies. */
+/** Lists the runs of a policy; only the agents' policy supports a budget of origin copies. */
 const listRuns = (flags: readonly string[], policy: string, common: {hosts: number; seed: number}): RunOptions[] => {
 	const budgets = policy === 'chosen' ? listFlag(flags, 'budgets', '1,4').map(Number) : [1];
 	const modes = listFlag(flags, 'links', 'duplex,shared') as Array<RunOptions['mode']>;
--- a/packages/bench/src/distribution/random-policy.ts
+++ b/packages/bench/src/distribution/random-policy.ts
@@ -4,13 +4,13 @@
 
 const neighbourCount = 8;
 const maxFetches = 5;
-/** Chunks drawn at random before all are looked through. */
-const samples = 100;
+/** Random samples that are tried before all chunks are scanned. */
+const maxSamples = 100;
 const timeoutMs = 5000;
 
 /**
- * A swarm without order: random neighbours, a random chunk that one of them
- * has, and whoever finds nothing to fetch asks the origin for a random chunk.
+ * A swarm with random choices: a host fetches random chunks that its random neighbours
+ * hold, and requests a random chunk from the origin if there is nothing to fetch.
  */
 export const createRandomSwarm: CreatePolicy = ({self, peers, random}) => {
 	const neighbours = pickNeighbours({self, peers, random});
@@ -18,24 +18,24 @@
 	const held = new Set<number>();
 	const fetches = new Map<number, {source: ChunkSource; startedAtMs: number}>();
 
-	const start = (chunk: number, source: ChunkSource, nowMs: number): SwarmEffect => {
+	const startFetch = (chunk: number, source: ChunkSource, nowMs: number): SwarmEffect => {
 		fetches.set(chunk, {source, startedAtMs: nowMs});
 		return {type: 'fetch', chunk, source};
 	};
 
-	const findChunk = (isFit: (chunk: number) => boolean): number | null => {
-		for (let sample = 0; sample < samples; sample++) {
+	const findChunk = (isCandidate: (chunk: number) => boolean): number | null => {
+		for (let sample = 0; sample < maxSamples; sample++) {
 			const chunk = random.between(0, totalChunks - 1);
-			if (!held.has(chunk) && !fetches.has(chunk) && isFit(chunk)) {
+			if (!held.has(chunk) && !fetches.has(chunk) && isCandidate(chunk)) {
 				return chunk;
 			}
 		}
 
-		// Few are left; the first after a random place.
+		// Few candidates are left: take the first one after a random position.
 		const first = random.between(0, totalChunks - 1);
 		for (let offset = 0; offset < totalChunks; offset++) {
 			const chunk = (first + offset) % totalChunks;
-			if (!held.has(chunk) && !fetches.has(chunk) && isFit(chunk)) {
+			if (!held.has(chunk) && !fetches.has(chunk) && isCandidate(chunk)) {
 				return chunk;
 			}
 		}
@@ -43,13 +43,13 @@
 		return null;
 	};
 
-	const fill = (nowMs: number): SwarmEffect[] => {
+	const startFetches = (nowMs: number): SwarmEffect[] => {
 		const effects: SwarmEffect[] = [];
 		while (fetches.size < maxFetches) {
 			const offered = findChunk(chunk => holders.has(chunk));
 			if (offered !== null) {
-				const known = holders.get(offered)!;
-				effects.push(start(offered, {type: 'peer', hostId: known[random.between(0, known.length - 1)]!}, nowMs));
+				const chunkHolders = holders.get(offered)!;
+				effects.push(startFetch(offered, {type: 'peer', hostId: chunkHolders[random.between(0, chunkHolders.length - 1)]!}, nowMs));
 				continue;
 			}
 
@@ -58,18 +58,18 @@
 				break;
 			}
 
-			effects.push(start(wanted, {type: 'origin'}, nowMs));
+			effects.push(startFetch(wanted, {type: 'origin'}, nowMs));
 		}
 
 		return effects;
 	};
 
-	const forget = (chunk: number, hostId: string): void => {
-		const left = (holders.get(chunk) ?? []).filter(holder => holder !== hostId);
-		if (left.length === 0) {
+	const removeHolder = (chunk: number, hostId: string): void => {
+		const remaining = (holders.get(chunk) ?? []).filter(holder => holder !== hostId);
+		if (remaining.length === 0) {
 			holders.delete(chunk);
 		} else {
-			holders.set(chunk, left);
+			holders.set(chunk, remaining);
 		}
 	};
 
@@ -84,7 +84,7 @@
 			effects.push({type: 'complete'});
 		}
 
-		return [...effects, ...fill(nowMs)];
+		return [...effects, ...startFetches(nowMs)];
 	};
 
 	const onTick = (nowMs: number): SwarmEffect[] => {
@@ -94,12 +94,12 @@
 				fetches.delete(chunk);
 				effects.push({type: 'cancel', chunk, source});
 				if (source.type === 'peer') {
-					forget(chunk, source.hostId);
+					removeHolder(chunk, source.hostId);
 				}
 			}
 		}
 
-		return [...effects, ...fill(nowMs)];
+		return [...effects, ...startFetches(nowMs)];
 	};
 
 	const step = (event: SwarmEvent, nowMs: number): SwarmEffect[] => {
@@ -111,7 +111,7 @@
 					}
 				}
 
-				return fill(nowMs);
+				return startFetches(nowMs);
 			}
 
 			case 'stored': {
--- a/packages/bench/src/distribution/scenario.ts
+++ b/packages/bench/src/distribution/scenario.ts
@@ -13,7 +13,7 @@
 
 export const totalChunks = 512;
 export const chunkSizeBytes = 4 * 1024 * 1024;
-/** 1 Gbit/s for transfers; the origin has twice that. */
+/** 1 Gbit/s for transfers; the origin has twice this rate. */
 export const linkBytesPerMs = 125_000;
 const requestBytes = 1024;
 export const floorMs = totalChunks * chunkSizeBytes / linkBytesPerMs;
@@ -36,26 +36,26 @@
 
 export type FaultPlan = {
 	readonly atMs: number;
-	/** Control tells the others this much later. */
+	/** Delay after which control notifies the other hosts of the loss. */
 	readonly detectionMs: number;
 	readonly killed: ReadonlySet<number>;
-	/** Hosts whose link stalls for `stallMs`. */
+	/** Hosts whose links stall for `stallMs`. */
 	readonly stalled: ReadonlySet<number>;
 	readonly stallMs: number;
-	/** Share of transfers between hosts that arrive with a wrong byte. */
+	/** Share of transfers between hosts that arrive corrupted. */
 	readonly corruptShare: number;
-	/** Share of host pairs between which no byte passes any more, while both are fine with all others. */
+	/** Share of host pairs that cannot exchange data any more, while both can still reach all other hosts. */
 	readonly stalledPathShare: number;
 	readonly random: Random;
 };
 
-const share = 0.05;
+const affectedShare = 0.05;
 
-const pick = (random: Random, hosts: number, count: number, not: ReadonlySet<number>): Set<number> => {
+const pickHosts = (random: Random, hosts: number, count: number, excluded: ReadonlySet<number>): Set<number> => {
 	const picked = new Set<number>();
 	while (picked.size < count) {
 		const host = random.between(0, hosts - 1);
-		if (!not.has(host)) {
+		if (!excluded.has(host)) {
 			picked.add(host);
 		}
 	}
@@ -63,20 +63,20 @@
 	return picked;
 };
 
-/** Everything strikes in mid-burst. `calm` has none of it. */
+/** Creates the faults of a run, all of which occur in the middle of the transfer; the `calm` scenario has none. */
 export const createFaultPlan = ({hosts, scenario, seed, mode}: RunOptions): FaultPlan => {
 	const random = createRandom(seed * 7919);
-	const isCalm = scenario === 'calm';
-	const count = isCalm ? 0 : Math.ceil(hosts * share);
-	const killed = pick(random, hosts, count, new Set());
+	const hasNoFaults = scenario === 'calm';
+	const count = hasNoFaults ? 0 : Math.ceil(hosts * affectedShare);
+	const killed = pickHosts(random, hosts, count, new Set());
 	return {
 		atMs: floorMs / 2 * (mode === 'shared' ? 2 : 1),
 		detectionMs: 3000,
 		killed,
-		stalled: pick(random, hosts, count, killed),
+		stalled: pickHosts(random, hosts, count, killed),
 		stallMs: 2500,
-		corruptShare: isCalm ? 0 : 0.01,
-		stalledPathShare: isCalm ? 0 : share,
+		corruptShare: hasNoFaults ? 0 : 0.01,
+		stalledPathShare: hasNoFaults ? 0 : affectedShare,
 		random,
 	};
 };
--- a/packages/bench/src/distribution/static-policies.ts
+++ b/packages/bench/src/distribution/static-policies.ts
@@ -2,13 +2,13 @@
 import {totalChunks} from './scenario.js';
 import type {CreatePolicy} from './swarm-run.js';
 
-/** Requests that a host keeps open, so that its link never waits for a round trip. */
-const pipeline = 2;
+/** Requests that a host keeps in flight, so that its link is never idle for a round trip. */
+const maxInFlight = 2;
 
-/** Every host draws everything from the origin. */
+/** Every host fetches all chunks from the origin. */
 export const createOriginOnly: CreatePolicy = () => fetchInOrder(null, []);
 
-/** A tree over all hosts in their order; with a fan-out of 1 it is a chain. */
+/** Arranges the hosts as a tree in their order; with a fan-out of 1 it is a chain. */
 export const createTree = (fanOut: number): CreatePolicy => ({self, peers}) => {
 	const index = peers.findIndex(({hostId}) => hostId === self.hostId);
 	const parent = index === 0 ? null : peers[Math.floor((index - 1) / fanOut)]!.hostId;
@@ -16,16 +16,16 @@
 	return fetchInOrder(parent, children);
 };
 
-/** Fetches each chunk in order from the parent, or from the origin when there is none. */
+/** Fetches the chunks in order from the parent, or from the origin if there is no parent. */
 const fetchInOrder = (parent: string | null, children: readonly string[]): ReturnType<CreatePolicy> => {
 	const source = parent === null ? {type: 'origin'} as const : {type: 'peer', hostId: parent} as const;
 	const available: number[] = parent === null ? [...Array.from({length: totalChunks}).keys()] : [];
-	let running = 0;
-	let held = 0;
-	const fill = (): SwarmEffect[] => {
+	let inFlight = 0;
+	let heldCount = 0;
+	const startFetches = (): SwarmEffect[] => {
 		const effects: SwarmEffect[] = [];
-		while (running < pipeline && available.length > 0) {
-			running++;
+		while (inFlight < maxInFlight && available.length > 0) {
+			inFlight++;
 			effects.push({type: 'fetch', chunk: available.shift()!, source});
 		}
 
@@ -36,36 +36,36 @@
 		switch (event.type) {
 			case 'peerHas': {
 				available.push(...event.chunks);
-				return fill();
+				return startFetches();
 			}
 
 			case 'stored': {
-				running--;
-				held++;
+				inFlight--;
+				heldCount++;
 				const effects: SwarmEffect[] = children.length === 0
 					? []
 					: [{
 						type: 'announce', to: children, chunks: [event.chunk], isGreeting: false,
 					}];
-				if (held === totalChunks) {
+				if (heldCount === totalChunks) {
 					effects.push({type: 'complete'});
 				}
 
-				return [...effects, ...fill()];
+				return [...effects, ...startFetches()];
 			}
 
 			case 'failed': {
-				running--;
+				inFlight--;
 				available.unshift(event.chunk);
-				return event.reason === 'busy' ? [] : fill();
+				return event.reason === 'busy' ? [] : startFetches();
 			}
 
 			case 'tick':
 			case 'peersChanged': {
-				return fill();
+				return startFetches();
 			}
 		}
 	};
 
-	return {policy: {step}, effects: fill()};
+	return {policy: {step}, effects: startFetches()};
 };
--- a/packages/bench/src/distribution/swarm-run.ts
+++ b/packages/bench/src/distribution/swarm-run.ts
@@ -9,7 +9,7 @@
 } from './scenario.js';
 import {createVirtualTime, type VirtualTime} from './virtual-time.js';
 
-/** A policy on one host: the real swarm, or one that it is compared with. */
+/** The distribution policy of one host: the agents' swarm, or a policy for comparison. */
 export type HostPolicy = {step(event: SwarmEvent, nowMs: number): SwarmEffect[]};
 
 export type CreatePolicyOptions = {
@@ -22,11 +22,11 @@
 export type CreatePolicy = (options: CreatePolicyOptions) => {policy: HostPolicy; effects: SwarmEffect[]};
 
 export type RunResult = {
-	/** Of each living host; infinite when it never had all chunks. */
+	/** Completion time of each running host; infinite if it never had all chunks. */
 	readonly doneAtMs: readonly number[];
 	readonly originCopies: number;
 	readonly originBytes: number;
-	/** Messages that told a neighbour of chunks. */
+	/** Number of announcements of chunks to neighbours. */
 	readonly announcements: number;
 };
 
@@ -39,15 +39,15 @@
 	readonly links: {out: Link; in: Link};
 	readonly uploads: Uploads;
 	readonly queue: Request[];
-	/** Requests of this host that run, by chunk and source. */
+	/** Requests of this host in flight, by chunk and source. */
 	readonly requests: Map<string, Request>;
 	readonly held: Uint8Array;
 	isSending: boolean;
-	isDead: boolean;
+	isDown: boolean;
 	doneAtMs: number | null;
 };
 
-type World = {
+type SimulationState = {
 	readonly time: VirtualTime;
 	readonly model: LinkModel;
 	readonly faults: FaultPlan;
@@ -59,20 +59,20 @@
 };
 
 const tickMs = 100;
-/** A run that takes more floors than the origin alone would need for all is given up. */
-const limitFloors = (hosts: number): number => hosts + 8;
+/** A run is aborted after this many lower bounds, more than the origin alone would need for all hosts. */
+const maxLowerBounds = (hosts: number): number => hosts + 8;
 const originId = '';
 
-/** Runs one burst from the first request to the last living host's completion, in virtual time. */
+/** Simulates one distribution in virtual time, from the first request until the last running host has completed. */
 export const runSwarm = (options: RunOptions, createPolicy: CreatePolicy): RunResult => {
 	const {hosts, mode, originCopies, seed} = options;
 	const faults = createFaultPlan(options);
-	const world: World = {
+	const simulation: SimulationState = {
 		time: createVirtualTime(), model: createLinkModel(mode), faults, hosts: new Map(), originLink: createOriginLink(), originChunks: 0, announcements: 0,
 		waiting: hosts - faults.killed.size,
 	};
 	const peers = createPeers(hosts);
-	const starts = peers.map((self, index) => {
+	const startedHosts = peers.map((self, index) => {
 		const {policy, effects} = createPolicy({
 			self, peers, random: createRandom((seed * 65_536) + index), originCopies,
 		});
@@ -86,83 +86,83 @@
 
 		const host: Host = {
 			index, peer: self, policy, links, uploads: createUploads(), queue: [], requests: new Map(), held: new Uint8Array(totalChunks),
-			isSending: false, isDead: false, doneAtMs: null,
+			isSending: false, isDown: false, doneAtMs: null,
 		};
-		world.hosts.set(self.hostId, host);
+		simulation.hosts.set(self.hostId, host);
 		return {host, effects};
 	});
-	for (const {host, effects} of starts) {
-		perform(world, host, effects);
-		tick(world, host, host.index % tickMs);
+	for (const {host, effects} of startedHosts) {
+		perform(simulation, host, effects);
+		tick(simulation, host, host.index % tickMs);
 	}
 
-	scheduleFaults(world, peers);
-	world.time.run(() => world.waiting === 0, floorMs * limitFloors(hosts));
+	scheduleFaults(simulation, peers);
+	simulation.time.run(() => simulation.waiting === 0, floorMs * maxLowerBounds(hosts));
 	return {
-		doneAtMs: [...world.hosts.values()].filter(host => !host.isDead).map(host => host.doneAtMs ?? Number.POSITIVE_INFINITY),
-		originCopies: world.originChunks / totalChunks,
-		originBytes: world.originChunks * chunkSizeBytes,
-		announcements: world.announcements,
+		doneAtMs: [...simulation.hosts.values()].filter(host => !host.isDown).map(host => host.doneAtMs ?? Number.POSITIVE_INFINITY),
+		originCopies: simulation.originChunks / totalChunks,
+		originBytes: simulation.originChunks * chunkSizeBytes,
+		announcements: simulation.announcements,
 	};
 };
 
-const scheduleFaults = (world: World, peers: readonly SwarmPeer[]): void => {
-	const {time, faults, hosts} = world;
+const scheduleFaults = (simulation: SimulationState, peers: readonly SwarmPeer[]): void => {
+	const {time, faults, hosts} = simulation;
 	if (faults.killed.size === 0) {
 		return;
 	}
 
 	time.at(faults.atMs, () => {
 		for (const host of hosts.values()) {
-			host.isDead = faults.killed.has(host.index);
+			host.isDown = faults.killed.has(host.index);
 		}
 	});
 	time.at(faults.atMs + faults.detectionMs, () => {
-		const living = peers.filter((_, index) => !faults.killed.has(index));
+		const runningPeers = peers.filter((_, index) => !faults.killed.has(index));
 		for (const host of hosts.values()) {
-			dispatch(world, host, {type: 'peersChanged', peers: living});
+			dispatch(simulation, host, {type: 'peersChanged', peers: runningPeers});
 		}
 	});
 };
 
-const tick = (world: World, host: Host, atMs: number): void => {
-	world.time.at(atMs, () => {
-		if (!host.isDead && host.doneAtMs === null) {
-			dispatch(world, host, {type: 'tick'});
-			tick(world, host, world.time.nowMs + tickMs);
+const tick = (simulation: SimulationState, host: Host, atMs: number): void => {
+	simulation.time.at(atMs, () => {
+		if (!host.isDown && host.doneAtMs === null) {
+			dispatch(simulation, host, {type: 'tick'});
+			tick(simulation, host, simulation.time.nowMs + tickMs);
 		}
 	});
 };
 
-const dispatch = (world: World, host: Host, event: SwarmEvent): void => {
-	if (!host.isDead) {
-		perform(world, host, host.policy.step(event, world.time.nowMs));
+const dispatch = (simulation: SimulationState, host: Host, event: SwarmEvent): void => {
+	if (!host.isDown) {
+		perform(simulation, host, host.policy.step(event, simulation.time.nowMs));
 	}
 };
 
 const requestKey = (chunk: number, source: ChunkSource): string => `${chunk}/${source.type === 'origin' ? originId : source.hostId}`;
 
-const perform = (world: World, host: Host, effects: readonly SwarmEffect[]): void => {
+const perform = (simulation: SimulationState, host: Host, effects: readonly SwarmEffect[]): void => {
 	for (const effect of effects) {
 		switch (effect.type) {
 			case 'fetch': {
-				startFetch(world, host, effect.chunk, effect.source);
+				startFetch(simulation, host, effect.chunk, effect.source);
 				break;
 			}
 
 			case 'cancel': {
-				cancel(world, host, effect.chunk, effect.source);
+				cancel(simulation, host, effect.chunk, effect.source);
 				break;
 			}
 
 			case 'announce': {
-				announce(world, host, effect);
+				announce(simulation, host, effect);
 				break;
 			}
 
 			case 'complete': {
-				host.doneAtMs = world.time.nowMs;
-				world.waiting--;
+				host.doneAtMs = simulation.time.nowMs;
+				simulation.waiting--;
 				break;
 			}
 
@@ -173,26 +173,26 @@
 	}
 };
 
-const startFetch = (world: World, host: Host, chunk: number, source: ChunkSource): void => {
+const startFetch = (simulation: SimulationState, host: Host, chunk: number, source: ChunkSource): void => {
 	const request: Request = {from: host, chunk, isCancelled: false};
 	host.requests.set(requestKey(chunk, source), request);
 	if (source.type === 'origin') {
-		askOrigin(world, request);
+		requestFromOrigin(simulation, request);
 	} else {
-		askPeer(world, request, world.hosts.get(source.hostId)!);
+		requestFromPeer(simulation, request, simulation.hosts.get(source.hostId)!);
 	}
 };
 
 type Announce = Extract<SwarmEffect, {type: 'announce'}>;
 
-/** One action for all targets at the same distance. */
-const announce = (world: World, host: Host, {to, chunks, isGreeting}: Announce): void => {
-	const {time, model, hosts} = world;
+/** Delivers an announcement with one scheduled action for all targets at the same latency. */
+const announce = (simulation: SimulationState, host: Host, {to, chunks, isGreeting}: Announce): void => {
+	const {time, model, hosts} = simulation;
 	const targetsByLatency = new Map<number, Host[]>();
-	world.announcements += to.length;
+	simulation.announcements += to.length;
 	for (const hostId of to) {
 		const target = hosts.get(hostId)!;
-		if (!isPathStalled(world, host, target)) {
+		if (!isPathStalled(simulation, host, target)) {
 			const latencyMs = latencyBetween(model, host.peer, target.peer);
 			const targets = targetsByLatency.get(latencyMs);
 			if (targets === undefined) {
@@ -206,7 +206,7 @@
 	for (const [latencyMs, targets] of targetsByLatency) {
 		time.at(time.nowMs + latencyMs, () => {
 			for (const target of targets) {
-				dispatch(world, target, {
+				dispatch(simulation, target, {
 					type: 'peerHas', hostId: host.peer.hostId, chunks, isGreeting,
 				});
 			}
@@ -214,46 +214,46 @@
 	}
 };
 
-const askOrigin = (world: World, request: Request): void => {
-	const {time, model, originLink} = world;
+const requestFromOrigin = (simulation: SimulationState, request: Request): void => {
+	const {time, model, originLink} = simulation;
 	time.at(time.nowMs + model.regionLatencyMs + model.requestOverheadMs, () => {
 		if (request.isCancelled) {
 			return;
 		}
 
-		world.originChunks++;
+		simulation.originChunks++;
 		const {startMs, endMs} = occupy(originLink, time.nowMs, model.originChunkMs);
-		receive(world, request, {type: 'origin'}, {startMs: startMs + model.regionLatencyMs, endMs: endMs + model.regionLatencyMs});
+		receive(simulation, request, {type: 'origin'}, {startMs: startMs + model.regionLatencyMs, endMs: endMs + model.regionLatencyMs});
 	});
 };
 
-const askPeer = (world: World, request: Request, holder: Host): void => {
-	const {time, model} = world;
+const requestFromPeer = (simulation: SimulationState, request: Request, holder: Host): void => {
+	const {time, model} = simulation;
 	const latencyMs = latencyBetween(model, request.from.peer, holder.peer);
-	if (isPathStalled(world, request.from, holder)) {
+	if (isPathStalled(simulation, request.from, holder)) {
 		return;
 	}
 
 	time.at(time.nowMs + latencyMs + model.requestOverheadMs, () => {
-		if (holder.isDead || request.isCancelled) {
+		if (holder.isDown || request.isCancelled) {
 			return;
 		}
 
 		if (!admitUpload(holder.uploads, request.from.peer.hostId)) {
 			time.at(time.nowMs + latencyMs, () => {
-				fail(world, request, {type: 'peer', hostId: holder.peer.hostId}, 'busy', model.chunkMs);
+				fail(simulation, request, {type: 'peer', hostId: holder.peer.hostId}, 'busy', model.chunkMs);
 			});
 			return;
 		}
 
 		holder.queue.push(request);
-		sendNext(world, holder);
+		sendNext(simulation, holder);
 	});
 };
 
-const sendNext = (world: World, holder: Host): void => {
-	const {time, model} = world;
-	if (holder.isSending || holder.isDead) {
+const sendNext = (simulation: SimulationState, holder: Host): void => {
+	const {time, model} = simulation;
+	if (holder.isSending || holder.isDown) {
 		return;
 	}
 
@@ -265,58 +265,58 @@
 	holder.isSending = true;
 	const {startMs, endMs} = occupy(holder.links.out, time.nowMs, model.chunkMs);
 	const latencyMs = latencyBetween(model, request.from.peer, holder.peer);
-	receive(world, request, {type: 'peer', hostId: holder.peer.hostId}, {startMs: startMs + latencyMs, endMs: endMs + latencyMs});
+	receive(simulation, request, {type: 'peer', hostId: holder.peer.hostId}, {startMs: startMs + latencyMs, endMs: endMs + latencyMs});
 	time.at(endMs, () => {
 		holder.isSending = false;
 		finishUpload(holder.uploads, request.from.peer.hostId);
-		sendNext(world, holder);
+		sendNext(simulation, holder);
 	});
 };
 
-/** The receiver's link takes the chunk in while the sender's still sends it. */
-const receive = (world: World, request: Request, source: ChunkSource, arrival: {startMs: number; endMs: number}): void => {
-	const {time, model, hosts} = world;
+/** The receiver's link receives the chunk while the sender's link is still sending it. */
+const receive = (simulation: SimulationState, request: Request, source: ChunkSource, arrival: {startMs: number; endMs: number}): void => {
+	const {time, model, hosts} = simulation;
 	const host = request.from;
 	time.at(arrival.startMs, () => {
 		const {endMs} = occupy(host.links.in, time.nowMs, model.chunkMs);
 		time.at(Math.max(endMs, arrival.endMs), () => {
 			const sender = source.type === 'peer' ? hosts.get(source.hostId)! : null;
-			if (sender !== null && (sender.isDead && arrival.endMs > world.faults.atMs)) {
+			if (sender !== null && (sender.isDown && arrival.endMs > simulation.faults.atMs)) {
 				return;
 			}
 
-			finishReceive(world, request, source);
+			finishReceive(simulation, request, source);
 		});
 	});
 };
 
-const finishReceive = (world: World, request: Request, source: ChunkSource): void => {
-	const {faults} = world;
+const finishReceive = (simulation: SimulationState, request: Request, source: ChunkSource): void => {
+	const {faults} = simulation;
 	const host = request.from;
 	if (request.isCancelled) {
 		return;
 	}
 
 	if (source.type === 'peer' && faults.corruptShare > 0 && faults.random.between(0, 999_999) < faults.corruptShare * 1_000_000) {
-		fail(world, request, source, 'corrupt');
+		fail(simulation, request, source, 'corrupt');
 		return;
 	}
 
 	host.requests.delete(requestKey(request.chunk, source));
 	host.held[request.chunk] = 1;
-	dispatch(world, host, {type: 'stored', chunk: request.chunk, source});
+	dispatch(simulation, host, {type: 'stored', chunk: request.chunk, source});
 };
 
-const fail = (world: World, request: Request, source: ChunkSource, reason: 'busy' | 'corrupt', retryAfterMs?: number): void => {
+const fail = (simulation: SimulationState, request: Request, source: ChunkSource, reason: 'busy' | 'corrupt', retryAfterMs?: number): void => {
 	if (!request.isCancelled) {
 		request.from.requests.delete(requestKey(request.chunk, source));
-		dispatch(world, request.from, {
+		dispatch(simulation, request.from, {
 			type: 'failed', chunk: request.chunk, source, reason, retryAfterMs,
 		});
 	}
 };
 
-const cancel = (world: World, host: Host, chunk: number, source: ChunkSource): void => {
+const cancel = (simulation: SimulationState, host: Host, chunk: number, source: ChunkSource): void => {
 	const key = requestKey(chunk, source);
 	const request = host.requests.get(key);
 	if (request === undefined) {
@@ -325,15 +325,15 @@
 
 	request.isCancelled = true;
 	host.requests.delete(key);
-	const holder = source.type === 'peer' ? world.hosts.get(source.hostId)! : null;
+	const holder = source.type === 'peer' ? simulation.hosts.get(source.hostId)! : null;
 	if (holder === null) {
 		return;
 	}
 
-	world.time.at(world.time.nowMs + latencyBetween(world.model, host.peer, holder.peer), () => {
-		const place = holder.queue.indexOf(request);
-		if (place !== -1) {
-			holder.queue.splice(place, 1);
+	simulation.time.at(simulation.time.nowMs + latencyBetween(simulation.model, host.peer, holder.peer), () => {
+		const queueIndex = holder.queue.indexOf(request);
+		if (queueIndex !== -1) {
+			holder.queue.splice(queueIndex, 1);
 			finishUpload(holder.uploads, host.peer.hostId);
 		}
 	});
@@ -341,13 +341,13 @@
 
 const pathModulus = 1000;
 
-/** The same pairs for the whole run, by a hash of both ends. */
-const isPathStalled = ({time, faults}: World, a: Host, b: Host): boolean => {
+/** Whether the path between two hosts is stalled; a hash of both hosts selects the same pairs for the whole run. */
+const isPathStalled = ({time, faults}: SimulationState, a: Host, b: Host): boolean => {
 	if (faults.stalledPathShare === 0 || time.nowMs < faults.atMs) {
 		return false;
 	}
 
-	const low = Math.min(a.index, b.index);
-	const high = Math.max(a.index, b.index);
-	return ((low * 7919) + (high * 104_729)) % pathModulus < faults.stalledPathShare * pathModulus;
+	const lowIndex = Math.min(a.index, b.index);
+	const highIndex = Math.max(a.index, b.index);
+	return ((lowIndex * 7919) + (highIndex * 104_729)) % pathModulus < faults.stalledPathShare * pathModulus;
 };
--- a/packages/bench/src/distribution/virtual-time.ts
+++ b/packages/bench/src/distribution/virtual-time.ts
@@ -1,10 +1,10 @@
 import TinyQueue from 'tinyqueue';
 
-/** Runs actions in the order of their virtual time; those of equal times in the order in which they were added. */
+/** Runs scheduled actions in the order of their virtual time, and actions with equal times in insertion order. */
 export type VirtualTime = {
 	nowMs: number;
 	at(atMs: number, action: () => void): void;
-	/** Runs until `isDone` or nothing is left or `limitMs` is reached. */
+	/** Runs until `isDone` returns true, no action is left or `limitMs` is reached. */
 	run(isDone: () => boolean, limitMs: number): void;
 };
 
--- a/packages/bench/src/fleet-cost/deployment.ts
+++ b/packages/bench/src/fleet-cost/deployment.ts
@@ -4,14 +4,14 @@
 export const serviceName = 'writers';
 export const zones = ['z0', 'z1', 'z2', 'z3', 'z4'] as const;
 export const coreCount = zones.length;
-/** Four entries to ten engines. */
+/** Four entries per ten engines. */
 const entriesPerEngine = 0.4;
 
 export const entryCountOf = (engineCount: number): number => Math.max(zones.length, Math.round(engineCount * entriesPerEngine));
 
 export const zoneOf = (index: number): string => zones[index % zones.length]!;
 
-/** Routes of a usual deployment; engines with the speed of the published ones. */
+/** Routes of a typical deployment; engines with the published speeds. */
 export const configuration: RoutingConfiguration = {
 	number: 1,
 	routes: [{
--- a/packages/bench/src/fleet-cost/fleet.ts
+++ b/packages/bench/src/fleet-cost/fleet.ts
@@ -12,10 +12,10 @@
 	coreCount, entryCountOf, serviceName, zoneOf, zones,
 } from './deployment.js';
 
-/** Whoever speaks for the others of a fleet. */
-export type Fleet = {close(): void};
+/** Fake hosts that stand for the other hosts of a fleet. */
+export type FakePeers = {close(): void};
 
-/** Numbers what is told, so that each is newer than the one before. */
+/** Creates a sequence counter, so that each message is newer than the one before. */
 const createCounter = (): {next(): number} => {
 	let count = 0;
 	return {
@@ -26,9 +26,9 @@
 	};
 };
 
-const reportMs = 100;
-const announceMs = 1200;
-const followMs = {entry: 700, agent: 4000} as const;
+const reportIntervalMs = 100;
+const announceIntervalMs = 1200;
+const watchWaitMs = {entry: 700, agent: 4000} as const;
 const slots = 8;
 const msPerSecond = 1000;
 
@@ -51,8 +51,8 @@
 	id: `engine-${index}`, serviceName, address: endpointAddressOf(index), zoneId: zoneOf(index), slots, state: 'ready', models: [{model: 'm', version: 1}], startedAtMs: 0, sequence, ageMs: 5,
 }));
 
-/** Core hosts that tell an entry or an agent of `engineCount` engines, and of all who follow them. */
-export const startCores = async (addresses: readonly string[], engineCount: number): Promise<Fleet> => {
+/** Starts core hosts that report `engineCount` engines, and the roster of all followers, to an entry or an agent. */
+export const startCores = async (addresses: readonly string[], engineCount: number): Promise<FakePeers> => {
 	const counter = createCounter();
 	const roster = {
 		hash: 'all', coreAddresses: [...addresses], entryCount: entryCountOf(engineCount), followers: followersOf(engineCount),
@@ -83,8 +83,8 @@
 	};
 };
 
-/** The load reports of `engineCount` agents to one entry: those of its own zone by themselves, the others by way of two relays of each zone. */
-export const startReports = (address: string, engineCount: number): Fleet => {
+/** Sends the load reports of `engineCount` agents to one entry: agents of its own zone send them directly, the others through two relays per zone. */
+export const startReports = (address: string, engineCount: number): FakePeers => {
 	const socket = createSendingSocket();
 	const sender = createLoadSender(createDatagramSender(socket));
 	let sequence = 0;
@@ -99,10 +99,10 @@
 		for (const index of indexes.filter(engine => zoneOf(engine) === zones[0])) {
 			sender.send({kind: 'near', reports: [reportOf(index, {type: 'direct', sentAtMs: performance.now()})]}, [address]);
 		}
-	}, reportMs);
+	}, reportIntervalMs);
 	const relaying = setInterval(() => {
 		for (const zone of zones.slice(1)) {
-			const reports = indexes.filter(engine => zoneOf(engine) === zone).map(index => reportOf(index, {type: 'relayed', ageMs: reportMs / 2, delayMs: 0}));
+			const reports = indexes.filter(engine => zoneOf(engine) === zone).map(index => reportOf(index, {type: 'relayed', ageMs: reportIntervalMs / 2, delayMs: 0}));
 			sender.send({kind: 'passed', reports}, [address]);
 		}
 	}, digestEveryMs / relaysPerZone);
@@ -115,15 +115,15 @@
 	};
 };
 
-/** All that follow one core host, and the announcements of the engines to it by way of another core host. */
-export const startFollowers = (address: string, engineCount: number): Fleet => {
-	const closing = new AbortController();
+/** Starts all followers of one core host, which receives the announcements of engines from the core hosts of `startAnnouncers`. */
+export const startFollowers = (address: string, engineCount: number): FakePeers => {
+	const abortController = new AbortController();
 	const agent = new http.Agent({keepAlive: true});
 	const follow = async (follower: Follower, waitMs: number): Promise<void> => {
 		const known = {
 			epoch: '', position: 0, rosterHash: '', versionsHash: '',
 		};
-		while (!closing.signal.aborted) {
+		while (!abortController.signal.aborted) {
 			try {
 				const answer = await callRpc<WatchResult>({
 					address, agent, method: 'gateway.watch', isPacked: true, timeoutMs: waitMs + 2000,
@@ -135,32 +135,32 @@
 					epoch: answer.epoch, position: answer.position, rosterHash: answer.roster?.hash ?? known.rosterHash, versionsHash: answer.versionsHash,
 				});
 			} catch {
-				// The core host is not up yet, or has just been ended.
-				await delay(reportMs);
+				// The core host is not listening yet or has just been terminated.
+				await delay(reportIntervalMs);
 			}
 		}
 	};
 
 	for (const follower of followersOf(engineCount)) {
-		void follow(follower, followMs[follower.role === 'agent' ? 'agent' : 'entry']);
+		void follow(follower, watchWaitMs[follower.role === 'agent' ? 'agent' : 'entry']);
 	}
 
 	return {
 		close() {
-			closing.abort();
+			abortController.abort();
 			agent.destroy();
 		},
 	};
 };
 
-/** Core hosts beside the measured one, which pass on what engines announce to them: each engine to one of them. */
-export const startAnnouncers = async (addresses: readonly string[], engineCount: number): Promise<Fleet> => {
+/** Starts core hosts beside the measured one that forward the announcements of engines, each of which announces itself to one core host. */
+export const startAnnouncers = async (addresses: readonly string[], engineCount: number): Promise<FakePeers> => {
 	const counter = createCounter();
 	const servers: HttpServer[] = [];
 	for (const [index, address] of addresses.entries()) {
 		const rpc = createRpcServer();
 		rpc.method('gateway.watch', watchParametersSchema, async ({waitMs}): Promise<WatchResult> => {
-			await delay(Math.min(waitMs, announceMs));
+			await delay(Math.min(waitMs, announceIntervalMs));
 			const sequence = counter.next();
 			return {
 				epoch: `e${index}`, position: sequence, announcements: announcementsOf(engineCount, sequence).filter((_, number) => number % coreCount === index + 1), zoneId: zones[index + 1]!,
@@ -180,7 +180,7 @@
 };
 
 const eventsPerAnswer = 15;
-const eventMs = 70;
+const eventIntervalMs = 70;
 const event = `data: ${'x'.repeat(100)}\n\n`;
 
 const streamAnswer = async (request: http.IncomingMessage, response: http.ServerResponse): Promise<void> => {
@@ -188,14 +188,14 @@
 	response.writeHead(200, {'content-type': 'text/event-stream', 'x-id': request.headers['x-id'], 'x-signature': 's'});
 	for (let id = 1; id <= eventsPerAnswer && !response.destroyed; id++) {
 		response.write(`id: ${id}\n${event}`);
-		await delay(eventMs);
+		await delay(eventIntervalMs);
 	}
 
 	response.end();
 };
 
-/** Engines that answer every request with a stream. */
-export const startEngines = async (engineCount: number): Promise<Fleet> => {
+/** Starts engines that answer every request with a stream. */
+export const startEngines = async (engineCount: number): Promise<FakePeers> => {
 	const servers: HttpServer[] = [];
 	for (let index = 0; index < engineCount; index++) {
 		servers.push(await createHttpServer({listen: endpointAddressOf(index), handler: streamAnswer}));
@@ -210,8 +210,8 @@
 	};
 };
 
-/** Callers of one entry: `requestsPerSecond` streams, on kept connections. */
-export const startCallers = (address: string, requestsPerSecond: number): Fleet => {
+/** Starts callers of one entry that send `requestsPerSecond` streaming requests over keep-alive connections. */
+export const startCallers = (address: string, requestsPerSecond: number): FakePeers => {
 	const {host, port} = parseAddress(address);
 	const agent = new http.Agent({keepAlive: true});
 	let count = 0;
@@ -222,7 +222,7 @@
 		}, response => {
 			response.resume();
 		});
-		// The entry is not up yet, or has just been ended.
+		// The entry is not listening yet or has just been terminated.
 		request.on('error', () => undefined);
 		request.end('x'.repeat(400));
 	}, msPerSecond / requestsPerSecond);
@@ -234,16 +234,16 @@
 	};
 };
 
-/** An engine that an agent looks at. */
-export const startEngine = async (address: string): Promise<Fleet> => {
-	let looks = 0;
+/** Starts an engine whose state an agent polls. */
+export const startEngine = async (address: string): Promise<FakePeers> => {
+	let checks = 0;
 	const server = await createHttpServer({
 		listen: address,
 		async handler(request, response) {
 			request.resume();
-			looks++;
+			checks++;
 			const text = JSON.stringify({
-				running: looks % slots, queued: 0, pace: 1, isBusy: false, models: [{model: 'm', version: 1}],
+				running: checks % slots, queued: 0, pace: 1, isBusy: false, models: [{model: 'm', version: 1}],
 			});
 			response.writeHead(200, {'content-type': 'application/json', 'content-length': text.length}).end(text);
 		},
--- a/packages/bench/src/fleet-cost/role-process.ts
+++ b/packages/bench/src/fleet-cost/role-process.ts
@@ -6,14 +6,14 @@
 import {readBody, sendHttp} from '@bitternpaddle/transport';
 import {protocol, serviceName, zones} from './deployment.js';
 
-/** Which role a process of this bench runs, and where. */
+/** The role that a process of this benchmark runs, with its addresses. */
 export type RoleSettings = {
 	readonly role: 'entry' | 'agent' | 'core';
 	readonly selfAddress: string;
-	/** Of an entry: where callers connect to. */
+	/** For an entry: the address that callers connect to. */
 	readonly listen: string;
 	readonly readinessListen: string;
-	/** Of an agent: the engine beside it. */
+	/** For an agent: the address of its engine. */
 	readonly engineAddress: string;
 	readonly seeds: readonly string[];
 	readonly folder: string;
@@ -21,7 +21,7 @@
 
 const engineTimeoutMs = 400;
 
-const start = async ({role, selfAddress, listen, readinessListen, engineAddress, seeds, folder}: RoleSettings): Promise<void> => {
+const startRole = async ({role, selfAddress, listen, readinessListen, engineAddress, seeds, folder}: RoleSettings): Promise<void> => {
 	const common = {
 		selfAddress, zoneId: zones[0], regionId: zones[0], seeds: () => seeds, logger: createLineLogger({labels: {role}}),
 		clock: createSuspendAwareClock({steadyNowMs: () => performance.now(), wallNowMs: () => Date.now()}),
@@ -60,7 +60,7 @@
 				origin: {
 					digests: async () => null,
 					async chunk() {
-						throw new Error('this origin has no weights');
+						throw new Error('the fake origin has no weights');
 					},
 				},
 			});
@@ -68,11 +68,11 @@
 	}
 };
 
-/** Runs the role that the first argument describes, until the process is ended. */
+/** Runs the role described by the first argument until the process is terminated. */
 export const runProgram = async (): Promise<void> => {
-	// A graceful exit, at which a profile is written.
+	// Exits gracefully, so that the CPU profile is written.
 	process.on('SIGINT', () => {
 		process.exit(0);
 	});
-	await start(JSON.parse(process.argv[2]!) as RoleSettings);
+	await startRole(JSON.parse(process.argv[2]!) as RoleSettings);
 };
