--- a/packages/bench/src/placement/placement.ts
+++ b/packages/bench/src/placement/placement.ts
@@ -21,10 +21,10 @@
 };
 
 const product = 'product';
-const digits = 4;
+const fractionDigits = 4;
 
-const among = <Name extends string>(kind: string, text: string, known: readonly Name[]): Name[] => text.split(',').map(name => {
-	const found = known.find(each => each === name);
+const parseNames = <Name extends string>(kind: string, text: string, known: readonly Name[]): Name[] => text.split(',').map(name => {
+	const found = known.find(knownName => knownName === name);
 	if (found === undefined) {
 		throw new Error(`unknown ${kind} "${name}": expected one of ${known.join(', ')}`);
 	}
@@ -32,13 +32,13 @@
 	return found;
 });
 
-/** As `among`; nothing where no name is given. */
-const someOf = (kind: string, text: string, known: readonly string[]): string[] => text === '' ? [] : among(kind, text, known);
+/** Like `parseNames`, but returns no names for an empty text. */
+const parseOptionalNames = (kind: string, text: string, known: readonly string[]): string[] => text === '' ? [] : parseNames(kind, text, known);
 
-const count = (name: string, text: string): number => {
+const parseCount = (name: string, text: string): number => {
 	const value = Number(text);
 	if (!Number.isInteger(value) || value < 1) {
-		throw new Error(`--${name} is "${text}": expected a whole number of 1 or more`);
+		throw new Error(`--${name} is "${text}": expected an integer of at least 1`);
 	}
 
 	return value;
@@ -53,26 +53,27 @@
 		},
 	});
 	return {
-		scenarios: among('scenario', values.scenario, scenarioNames), seeds: count('seeds', values.seeds), engineCount: count('engines', values.engines), entryCount: count('entries', values.entries),
-		policies: [product, ...someOf('policy', values.policy, Object.keys(baselines)), ...someOf('mechanism', values.without, Object.keys(ablations))],
-		profile: among('profile', values.profile, profileNames)[0]!, work: among('work', values.work, workNames)[0]!, plotFile: values.plot ?? null,
+		scenarios: parseNames('scenario', values.scenario, scenarioNames), seeds: parseCount('seeds', values.seeds), engineCount: parseCount('engines', values.engines),
+		entryCount: parseCount('entries', values.entries),
+		policies: [product, ...parseOptionalNames('policy', values.policy, Object.keys(baselines)), ...parseOptionalNames('mechanism', values.without, Object.keys(ablations))],
+		profile: parseNames('profile', values.profile, profileNames)[0]!, work: parseNames('work', values.work, workNames)[0]!, plotFile: values.plot ?? null,
 	};
 };
 
-/** Mean over the seeds, and its standard error. */
+/** Mean over the seeds and its standard error. */
 type Figure = readonly [mean: number, error: number];
 
 const figureOf = (values: readonly number[]): Figure => {
 	const error = values.length < 2 ? 0 : standardDeviation([...values]) / Math.sqrt(values.length - 1);
-	return [Number(mean([...values]).toFixed(digits)), Number(error.toFixed(digits))];
+	return [Number(mean([...values]).toFixed(fractionDigits)), Number(error.toFixed(fractionDigits))];
 };
 
 const figuresOf = (results: readonly Result[]): Record<string, Figure> => Object.fromEntries(Object.keys(results[0]!)
 	.map(field => [field, figureOf(results.map(result => result[field as keyof Result]))]));
 
-/** Seed by seed against the product: negative if the product is better. */
-const differenceOf = (results: readonly Result[], own: readonly Result[]): Record<string, Figure> => Object.fromEntries((['worth', 'nines', 'inTime', 'refused'] as const)
-	.map(field => [field, figureOf(results.map((result, index) => result[field] - own[index]![field]))]));
+/** Returns the difference to the product's own policy, seed by seed; negative if the product is better. */
+const differenceOf = (results: readonly Result[], baseline: readonly Result[]): Record<string, Figure> => Object.fromEntries((['worth', 'nines', 'inTime', 'refused'] as const)
+	.map(field => [field, figureOf(results.map((result, index) => result[field] - baseline[index]![field]))]));
 
 const sumSeconds = (plays: readonly PlayDone[]): Counts[] => plays[0]!.bySecond.map((_, second) => {
 	const sum = (field: keyof Counts): number => plays.reduce((total, {bySecond}) => total + bySecond[second]![field], 0);
@@ -82,9 +83,9 @@
 });
 
 /**
- * Plays scenarios of queueing, refusing and placing in virtual time under the
- * product's policy, under simpler ones, and with one mechanism after the other
- * switched off.
+ * Simulates scenarios of queueing, refusing and placing requests in virtual time with
+ * the product's policy, with simpler policies, and with each mechanism of the product
+ * switched off in turn.
  */
 export const measurePlacement = async (flags: readonly string[]): Promise<Record<string, unknown>> => {
 	const {scenarios, policies, seeds, engineCount, entryCount, profile, work, plotFile} = resolveOptions(flags);
@@ -92,12 +93,12 @@
 		scenario, policy, seed: index + 1, engineCount, entryCount, profile, work,
 	}))));
 	const plays = await playAll(jobs);
-	const of = (scenario: ScenarioName, policy: string): PlayDone[] => plays.filter(({job}) => job.scenario === scenario && job.policy === policy);
-	const resultsOf = (scenario: ScenarioName, policy: string): Result[] => of(scenario, policy).map(({result}) => result);
-	const against = (names: readonly string[]): Record<string, unknown> => Object.fromEntries(names.filter(name => policies.includes(name))
+	const playsOf = (scenario: ScenarioName, policy: string): PlayDone[] => plays.filter(({job}) => job.scenario === scenario && job.policy === policy);
+	const resultsOf = (scenario: ScenarioName, policy: string): Result[] => playsOf(scenario, policy).map(({result}) => result);
+	const differencesOf = (names: readonly string[]): Record<string, unknown> => Object.fromEntries(names.filter(name => policies.includes(name))
 		.map(name => [name, Object.fromEntries(scenarios.map(scenario => [scenario, differenceOf(resultsOf(scenario, name), resultsOf(scenario, product))]))]));
 	if (plotFile !== null) {
-		await writeFile(plotFile, plotSeconds(scenarios[0]!, sumSeconds(of(scenarios[0]!, product))));
+		await writeFile(plotFile, plotSeconds(scenarios[0]!, sumSeconds(playsOf(scenarios[0]!, product))));
 	}
 
 	return {
@@ -107,6 +108,6 @@
 				engineCount, entryCount, profile, work,
 			})),
 		}])),
-		baselines: against(Object.keys(baselines)), ablations: against(Object.keys(ablations)),
+		baselines: differencesOf(Object.keys(baselines)), ablations: differencesOf(Object.keys(ablations)),
 	};
 };
--- a/packages/bench/src/placement/play-all.ts
+++ b/packages/bench/src/placement/play-all.ts
@@ -2,18 +2,18 @@
 import {Worker} from 'node:worker_threads';
 import type {PlayDone, PlayJob} from './play-worker.js';
 
-/** Half of the processors, as other work goes on beside a bench. */
+/** Uses half of the CPU cores, because other work runs beside a benchmark. */
 const workerShare = 0.5;
 
-/** Plays all jobs, spread over threads; the results in the order of the jobs. */
+/** Runs all jobs, distributed over worker threads; returns the results in the order of the jobs. */
 export const playAll = async (jobs: readonly PlayJob[]): Promise<PlayDone[]> => {
-	const done: PlayDone[] = [];
-	let next = 0;
-	const work = async (): Promise<void> => new Promise((resolve, reject) => {
+	const results: PlayDone[] = [];
+	let nextIndex = 0;
+	const runWorker = async (): Promise<void> => new Promise((resolve, reject) => {
 		const worker = new Worker(new URL('play-worker.js', import.meta.url));
-		const giveNext = (): void => {
-			const index = next;
-			next++;
+		const startNextJob = (): void => {
+			const index = nextIndex;
+			nextIndex++;
 			if (index >= jobs.length) {
 				void worker.terminate();
 				resolve();
@@ -21,17 +21,17 @@
 			}
 
 			worker.once('message', (message: PlayDone) => {
-				done[index] = message;
-				giveNext();
+				results[index] = message;
+				startNextJob();
 			});
 			worker.postMessage(jobs[index]);
 		};
 
 		worker.once('error', reject);
-		giveNext();
+		startNextJob();
 	});
 
 	const workers = Math.max(1, Math.min(jobs.length, Math.floor(availableParallelism() * workerShare)));
-	await Promise.all(Array.from({length: workers}, work));
-	return done;
+	await Promise.all(Array.from({length: workers}, runWorker));
+	return results;
 };
--- a/packages/bench/src/placement/play-worker.ts
+++ b/packages/bench/src/placement/play-worker.ts
@@ -4,10 +4,10 @@
 } from '@bitternpaddle/model';
 import {ablations, baselines} from './policies.js';
 
-/** One play of a scenario under a policy. */
+/** One simulation of a scenario with a policy. */
 export type PlayJob = {
 	readonly scenario: ScenarioName;
-	/** `product`, a baseline's name, or an ablation's. */
+	/** `product`, or the name of a baseline or an ablation. */
 	readonly policy: string;
 	readonly seed: number;
 	readonly engineCount: number;
--- a/packages/bench/src/placement/plot.ts
+++ b/packages/bench/src/placement/plot.ts
@@ -6,15 +6,15 @@
 const parts = [
 	{field: 'inTime', fill: '#3a7d44', label: 'in time'},
 	{field: 'late', fill: '#e0a030', label: 'late'},
-	{field: 'refused', fill: '#b03a3a', label: 'refused for good'},
+	{field: 'refused', fill: '#b03a3a', label: 'finally refused'},
 	{field: 'lost', fill: '#555555', label: 'lost'},
 ] as const;
 
-/** What became of the callers of each second, as stacked bars. */
+/** Returns an SVG with the outcomes of the callers of each second as stacked bars. */
 export const plotSeconds = (title: string, seconds: readonly Counts[]): string => {
-	const most = Math.max(1, ...seconds.map(({asked}) => asked));
+	const maxCallers = Math.max(1, ...seconds.map(({asked}) => asked));
 	const barWidth = (width - (2 * margin)) / seconds.length;
-	const scale = (height - (2 * margin)) / most;
+	const scale = (height - (2 * margin)) / maxCallers;
 	const bars = seconds.flatMap((counts, index) => {
 		let top = height - margin;
 		return parts.map(({field, fill}) => {
@@ -28,7 +28,7 @@
 		return `<rect x="${left}" y="${height - 22}" width="12" height="12" fill="${fill}"/><text x="${left + 18}" y="${height - 12}">${label}</text>`;
 	});
 	return `<svg xmlns="http://www.w3.org/2000/svg" width="${width}" height="${height}" font-family="sans-serif" font-size="12">
-<text x="${margin}" y="20">${title}: callers by the second in which they asked, at most ${most.toFixed(0)}</text>
+<text x="${margin}" y="20">${title}: callers per second of arrival, maximum ${maxCallers.toFixed(0)}</text>
 ${[...bars, ...legend].join('\n')}
 </svg>
 `;
--- a/packages/bench/src/placement/policies.ts
+++ b/packages/bench/src/placement/policies.ts
@@ -4,67 +4,74 @@
 } from '@bitternpaddle/coordination';
 import {productPolicy, type EntryPolicy} from '@bitternpaddle/model';
 
-type Step = (demand: ServiceDemand, surroundings: Surroundings, request: SeekingRequest) => NextStep;
+type Step = (demand: ServiceDemand, context: Surroundings, request: SeekingRequest) => NextStep;
 
 const withStep = (step: Step): EntryPolicy => ({...productPolicy, step});
 
 const busyRetryMs = 1300;
 const refuse: NextStep = {type: 'refuse', reason: 'busy', retryAfterMs: busyRetryMs};
 
-/** The product's step, but where it says to wait for `reason` the request is refused. */
-const withoutWait = (reason: WaitReason): EntryPolicy => withStep((demand, surroundings, request) => {
-	const step = nextStep(demand, surroundings, request);
+/** The product's step, except that a request is refused where the product would wait for `reason`. */
+const withoutWait = (reason: WaitReason): EntryPolicy => withStep((demand, context, request) => {
+	const step = nextStep(demand, context, request);
 	return step.type === 'wait' && step.reason === reason ? refuse : step;
 });
 
-/** The product's step on candidates of which something is not known. */
-const withLoads = (change: (load: Candidate['load']) => Partial<Candidate['load']>): EntryPolicy => withStep((demand, surroundings, request) => nextStep(demand, {
-	...surroundings, candidates: surroundings.candidates.map(candidate => ({...candidate, load: {...candidate.load, ...change(candidate.load)}})),
+/** The product's step on candidates with some of their load information changed or removed. */
+const withLoads = (change: (load: Candidate['load']) => Partial<Candidate['load']>): EntryPolicy => withStep((demand, context, request) => nextStep(demand, {
+	...context, candidates: context.candidates.map(candidate => ({...candidate, load: {...candidate.load, ...change(candidate.load)}})),
 }, request));
 
-const wholeTime = 1 / 0.8;
+/** Cancels the safety margin of admission, which uses only 0.8 of the objective. */
+const fullObjectiveFactor = 1 / 0.8;
 
-/** One mechanism switched off in each. */
+/** Policies that each switch off one mechanism of the product. */
 export const ablations: Readonly<Record<string, EntryPolicy>> = {
+	/** Refuses requests instead of holding them until engines are ready. */
 	held: withoutWait('engines'),
+	/** Refuses requests instead of letting them wait for a moment. */
 	moment: withoutWait('moment'),
-	/** Come-backs are held to free places at all times. */
-	calm: withStep((demand, surroundings, request) => nextStep(demand, surroundings, request.isLastTry ? {...request, objectiveMs: 0} : request)),
-	/** All kinds are admitted by the strictest objective. */
-	strictestBound: withStep((demand, surroundings, request) => nextStep(demand, surroundings, {
-		...request, objectiveMs: Math.min(strictestObjectiveMs(demand.objectives, surroundings.nowMs), request.objectiveMs),
+	/** Admits caller retries only to free slots at all times, not only under overload. */
+	calm: withStep((demand, context, request) => nextStep(demand, context, request.isLastTry ? {...request, objectiveMs: 0} : request)),
+	/** Admits requests of all classes by the strictest objective. */
+	strictestBound: withStep((demand, context, request) => nextStep(demand, context, {
+		...request, objectiveMs: Math.min(strictestObjectiveMs(demand.objectives, context.nowMs), request.objectiveMs),
 	})),
-	room: withStep((demand, surroundings, request) => nextStep({...demand, spareRoom: createSpareRoom()}, surroundings, request)),
-	crowd: withStep((demand, surroundings, request) => nextStep(demand, {...surroundings, entryCount: 1}, request)),
-	comeBacksLast: withStep((demand, surroundings, request) => nextStep(demand, surroundings, {...request, isLastTry: false})),
-	oneBound: withStep((demand, surroundings, request) => nextStep({...demand, objectives: createObjectiveMix()}, surroundings, request)),
-	margin: withStep((demand, surroundings, request) => nextStep(demand, surroundings, {...request, objectiveMs: request.objectiveMs * wholeTime})),
-	zones: withStep((demand, surroundings, request) => nextStep(demand, {...surroundings, zoneId: ''}, request)),
+	/** Ignores the recorded spare capacity. */
+	room: withStep((demand, context, request) => nextStep({...demand, spareRoom: createSpareRoom()}, context, request)),
+	/** Ignores concurrent arrivals at other entries. */
+	crowd: withStep((demand, context, request) => nextStep(demand, {...context, entryCount: 1}, request)),
+	/** Treats caller retries like first attempts. */
+	comeBacksLast: withStep((demand, context, request) => nextStep(demand, context, {...request, isLastTry: false})),
+	/** Admits each request by its own objective, regardless of the objectives of other requests. */
+	oneBound: withStep((demand, context, request) => nextStep({...demand, objectives: createObjectiveMix()}, context, request)),
+	margin: withStep((demand, context, request) => nextStep(demand, context, {...request, objectiveMs: request.objectiveMs * fullObjectiveFactor})),
+	zones: withStep((demand, context, request) => nextStep(demand, {...context, zoneId: ''}, request)),
 	ownRequests: withLoads(() => ({awaiting: new Map(), outstanding: 0})),
 	lag: withLoads(() => ({lagMs: 0})),
 	urgency: {...productPolicy, urgency: () => 1},
 };
 
-type Choose = (candidates: readonly Candidate[], surroundings: Surroundings) => Candidate;
+type Choose = (candidates: readonly Candidate[], context: Surroundings) => Candidate;
 
-/** Sends to a candidate that serves, whatever is expected of it. */
-const sendTo = (choose: Choose): EntryPolicy => withStep((demand, surroundings, request) => {
-	const {candidates, nowMs} = surroundings;
-	const up = candidates.filter(({load}) => hasFreshReport(load, nowMs) && load.report!.version !== null && !load.report!.isBusy);
-	return up.length === 0
-		? nextStep(demand, surroundings, request)
-		: {type: 'send', placement: {candidate: choose(up, surroundings), expectedMs: 0, lagMs: 0}};
+/** Sends each request to a serving candidate, regardless of the time to the first token that is expected of it. */
+const sendTo = (choose: Choose): EntryPolicy => withStep((demand, context, request) => {
+	const {candidates, nowMs} = context;
+	const serving = candidates.filter(({load}) => hasFreshReport(load, nowMs) && load.report!.version !== null && !load.report!.isBusy);
+	return serving.length === 0
+		? nextStep(demand, context, request)
+		: {type: 'send', placement: {candidate: choose(serving, context), expectedMs: 0, lagMs: 0}};
 });
 
-const leastBy = (candidates: readonly Candidate[], measure: (candidate: Candidate) => number): Candidate => candidates.toSorted((a, b) => measure(a) - measure(b))[0]!;
+const minBy = (candidates: readonly Candidate[], measure: (candidate: Candidate) => number): Candidate => candidates.toSorted((a, b) => measure(a) - measure(b))[0]!;
 
-const active = ({load}: Candidate): number => Math.max(load.outstanding, (load.report?.running ?? 0) + (load.report?.queued ?? 0));
-const draw = (candidates: readonly Candidate[], {random}: Surroundings): Candidate => candidates[random.between(0, candidates.length - 1)]!;
+const activeRequests = ({load}: Candidate): number => Math.max(load.outstanding, (load.report?.running ?? 0) + (load.report?.queued ?? 0));
+const pickRandom = (candidates: readonly Candidate[], {random}: Surroundings): Candidate => candidates[random.between(0, candidates.length - 1)]!;
 
-/** Simpler policies. */
+/** Simpler policies for comparison. */
 export const baselines: Readonly<Record<string, () => EntryPolicy>> = {
-	leastOutstanding: () => sendTo(candidates => leastBy(candidates, ({load}) => load.outstanding)),
-	twoChoices: () => sendTo((candidates, surroundings) => leastBy([draw(candidates, surroundings), draw(candidates, surroundings)], active)),
+	leastOutstanding: () => sendTo(candidates => minBy(candidates, ({load}) => load.outstanding)),
+	twoChoices: () => sendTo((candidates, context) => minBy([pickRandom(candidates, context), pickRandom(candidates, context)], activeRequests)),
 	roundRobin() {
 		let turn = 0;
 		return sendTo(candidates => {
@@ -72,9 +79,9 @@
 			return candidates[turn % candidates.length]!;
 		});
 	},
-	admitAll: () => withStep((demand, surroundings, request) => nextStep(demand, surroundings, {...request, retryClass: 'safe'})),
-	oneThreshold: () => withStep((demand, surroundings, request) => {
+	admitAll: () => withStep((demand, context, request) => nextStep(demand, context, {...request, retryClass: 'safe'})),
+	oneThreshold: () => withStep((demand, context, request) => {
 		const objectiveMs = Math.min(400, request.objectiveMs);
-		return nextStep({...demand, objectives: createObjectiveMix()}, surroundings, {...request, objectiveMs, isLastTry: false});
+		return nextStep({...demand, objectives: createObjectiveMix()}, context, {...request, objectiveMs, isLastTry: false});
 	}),
 };
--- a/packages/bench/src/routing/catalog.ts
+++ b/packages/bench/src/routing/catalog.ts
@@ -1,7 +1,7 @@
 import {
 	createCatalog, type Catalog, type HostRecord,
 } from '@bitternpaddle/state';
-import type {ModelEndpoint} from './world.js';
+import type {ModelEndpoint} from './simulation.js';
 
 export type BenchHost = Pick<ModelEndpoint, 'hostId' | 'zoneId' | 'capacity'>;
 
@@ -12,7 +12,7 @@
 	status: 'serving', readyVersionId: 'm:v1', assignment: {fleetId: 'f', versionId: 'm:v1', fencingNumber: 1},
 });
 
-/** One model on one fleet with all the hosts. */
+/** Creates a catalog with one model on one fleet that includes all hosts. */
 export const createBenchCatalog = (hosts: readonly BenchHost[]): Catalog => {
 	const catalog = createCatalog();
 	catalog.revision = 1;
--- a/packages/bench/src/routing/decision.ts
+++ b/packages/bench/src/routing/decision.ts
@@ -12,7 +12,7 @@
 
 const createHosts = (count: number) => Array.from({length: count}, (_, index) => ({hostId: `h${index}`, zoneId: ['tacoma-hall', 'salem-hall', 'spokane-hall'][index % 3]!, capacity: 16}));
 
-/** An adapter that a share of the hosts holds, as while it is being loaded. */
+/** Adds an adapter that a share of the hosts holds, as during a load. */
 const addAdapter = (catalog: Catalog, holdersPercent: number): void => {
 	catalog.adapters['m:v1/tone'] = {
 		versionId: 'm:v1', adapterId: 'tone', manifestId: manifestId(`sha256:${'0'.repeat(64)}`), isWithdrawn: false,
@@ -43,13 +43,13 @@
 
 export type DecisionCost = {
 	readonly micros: number;
-	/** Endpoints that the entry keeps connections to. */
+	/** Number of endpoints to which the entry keeps connections. */
 	readonly known: number;
 };
 
-/** A whole decision (choice, start, first byte, end), every second one with a prefix. */
+/** Creates a function that makes one complete decision (choice, start, first byte, end); every second one has a prefix. */
 const createDecider = (router: RouterState, target: RouteTarget): ((index: number) => void) => {
-	const held: string[] = [];
+	const startedHostIds: string[] = [];
 	const tried = new Set<string>();
 	return index => {
 		const nowMs = index / 10;
@@ -59,58 +59,58 @@
 		}
 
 		noteStart(router, choice.endpoint.hostId, nowMs);
-		held.push(choice.endpoint.hostId);
-		if (held.length > heldRequests) {
-			const ended = held.shift()!;
-			noteFirstByte(router, ended, nowMs);
-			noteEnd(router, ended, {outcome: {type: 'answered', latencyMs: 10}, hadFirstByte: true}, nowMs);
+		startedHostIds.push(choice.endpoint.hostId);
+		if (startedHostIds.length > heldRequests) {
+			const endedHostId = startedHostIds.shift()!;
+			noteFirstByte(router, endedHostId, nowMs);
+			noteEnd(router, endedHostId, {outcome: {type: 'answered', latencyMs: 10}, hadFirstByte: true}, nowMs);
 		}
 	};
 };
 
 /**
- * Cost of a decision at each number of endpoints, at one of `entriesFor` entries.
- * The sizes take turns, so that what else runs on the machine, and code that is
- * compiled again for the next size, does not fall on one of them alone. With
- * `holdersPercent` all ask for an adapter that so many hosts hold.
+ * Measures the cost of a decision for each number of endpoints, at one of `entriesFor`
+ * entries. The sizes alternate by round, so that other load on the machine and the
+ * recompilation of code for another size do not affect one size alone. With
+ * `holdersPercent`, all requests are for an adapter that this share of the hosts holds.
  */
 export const measureDecisions = (counts: readonly number[], seed: number, entriesFor: (count: number) => number, holdersPercent = 0): DecisionCost[] => {
 	const target: RouteTarget = {type: 'model', modelId: 'm', ...(holdersPercent > 0 && {adapterId: 'tone'})};
 	const runs = counts.map(count => {
 		const {router} = createLoadedRouter(count, seed, entriesFor(count), holdersPercent);
-		return {router, decide: createDecider(router, target), took: [] as number[]};
+		return {router, decide: createDecider(router, target), durationsMicros: [] as number[]};
 	});
 	for (let round = 0; round < rounds; round++) {
-		for (const {decide, took} of runs) {
+		for (const {decide, durationsMicros} of runs) {
 			const startedAtMs = performance.now();
 			for (let index = 0; index < decisions; index++) {
 				decide((round * decisions) + index);
 			}
 
-			took.push((performance.now() - startedAtMs) * 1000 / decisions);
+			durationsMicros.push((performance.now() - startedAtMs) * 1000 / decisions);
 		}
 	}
 
-	return runs.map(({router, took}) => ({
-		micros: median(took.slice(2)), known: [...router.hosts.values()].filter(({isActive}) => isActive).length,
+	return runs.map(({router, durationsMicros}) => ({
+		micros: median(durationsMicros.slice(2)), known: [...router.hosts.values()].filter(({isActive}) => isActive).length,
 	}));
 };
 
-/** Microseconds to follow a change: of one replica that is named, and of one host found by comparing all. */
+/** Measures the microseconds of a router update after one host has changed: with the host's id given (`named`), and by comparing all hosts (`compared`). */
 export const measureUpdate = (count: number, seed: number): {readonly named: number; readonly compared: number} => {
 	const {catalog, router} = createLoadedRouter(count, seed, 1);
 	const hosts = createHosts(count);
 	const run = (isNamed: boolean): number => {
-		const took: number[] = [];
+		const durationsMicros: number[] = [];
 		for (let index = 0; index < 100; index++) {
 			const host = hosts[index]!;
 			catalog.hosts[host.hostId] = {...createBenchRecord(host), readyVersionId: index % 2 === 0 ? null : 'm:v1'};
 			const startedAtMs = performance.now();
 			updateRouter(router, catalog, isNamed ? new Set([host.hostId]) : null, index);
-			took.push((performance.now() - startedAtMs) * 1000);
+			durationsMicros.push((performance.now() - startedAtMs) * 1000);
 		}
 
-		return median(took);
+		return median(durationsMicros);
 	};
 
 	return {named: run(true), compared: run(false)};
--- a/packages/bench/src/routing/limit-world.ts
+++ b/packages/bench/src/routing/limit-simulation.ts
@@ -3,7 +3,7 @@
 	takeRequest, takeShareAnswer, teamRatesOf, teamUses, tickShares, type AdmissionState, type EntryShares, type ShareAsk,
 } from '@bitternpaddle/coordination';
 
-/** How the entries divide the limit. */
+/** How the entries divide the limit: into equal shares, or with entries that lend unused shares to each other. */
 export type LimitPolicy = 'equalParts' | 'lending';
 
 type Entry = {
@@ -13,40 +13,40 @@
 	readonly startedAtMs: number;
 };
 
-export type LimitWorldOptions = {
+export type LimitSimulationOptions = {
 	readonly policy: LimitPolicy;
 	readonly fleetTokensPerSecond: number;
 	readonly teams: ReadonlyMap<string, number>;
 	readonly entries: number;
 };
 
-/** Entries before one limit, in virtual time. */
-export type LimitWorld = {
-	/** `null` for an entry that is down. */
+/** A simulation of the entries that enforce one limit, in virtual time. */
+export type LimitSimulation = {
+	/** The entries by index; `null` for an entry that is down. */
 	readonly entries: Array<Entry | null>;
-	/** Brings the world to this time. */
+	/** Runs all events up to this time. */
 	advance(toMs: number): void;
 	start(index: number): void;
 	stop(index: number): void;
-	/** Whether the entry lets the request through. */
+	/** Returns whether the entry admits the request. */
 	offer(index: number, requestId: string, teamId: string, cost: number): boolean;
 };
 
 const tickMs = 100;
-const delayMs = 20;
-const listEveryMs = 2000;
-/** Control still names an entry for as long after it was heard last. */
-const namedMs = 3000;
+const networkDelayMs = 20;
+const listIntervalMs = 2000;
+/** How long control keeps an entry in its list after the entry's last report. */
+const listedMs = 3000;
 
 type Event = {readonly atMs: number; run(): void};
 
-export const createLimitWorld = ({policy, fleetTokensPerSecond, teams, entries: count}: LimitWorldOptions): LimitWorld => {
+export const createLimitSimulation = ({policy, fleetTokensPerSecond, teams, entries: count}: LimitSimulationOptions): LimitSimulation => {
 	const entries: Array<Entry | null> = Array.from({length: count}, () => null);
-	const heardAtMs = new Map<number, number>();
+	const lastReportAtMs = new Map<number, number>();
 	const events: Event[] = [];
 	let nowMs = 0;
 
-	const later = (afterMs: number, run: () => void): void => {
+	const schedule = (afterMs: number, run: () => void): void => {
 		const atMs = nowMs + afterMs;
 		const position = events.findLastIndex(event => event.atMs <= atMs);
 		events.splice(position + 1, 0, {atMs, run});
@@ -62,7 +62,7 @@
 
 	const send = (from: Entry, {to, request}: ShareAsk): void => {
 		const sentAtMs = nowMs;
-		later(delayMs, () => {
+		schedule(networkDelayMs, () => {
 			const peer = entries[Number(to)];
 			if (peer === null || peer === undefined) {
 				return;
@@ -70,11 +70,11 @@
 
 			const answer = answerShareRequest(peer.shares, request, nowMs);
 			if (!answer.isCounted) {
-				list(peer);
+				sendEntryList(peer);
 			}
 
 			apply(peer);
-			later(delayMs, () => {
+			schedule(networkDelayMs, () => {
 				if (entries[from.index] === from) {
 					takeShareAnswer(from.shares, to, answer, {sentAtMs, nowMs});
 					apply(from);
@@ -83,9 +83,9 @@
 		});
 	};
 
-	const list = ({shares}: Entry): void => {
-		const named = [...heardAtMs].filter(([, atMs]) => nowMs - atMs <= namedMs).map(([index]) => String(index));
-		takeEntries(shares, named, {askedAtMs: nowMs, nowMs});
+	const sendEntryList = ({shares}: Entry): void => {
+		const listed = [...lastReportAtMs].filter(([, atMs]) => nowMs - atMs <= listedMs).map(([index]) => String(index));
+		takeEntries(shares, listed, {askedAtMs: nowMs, nowMs});
 	};
 
 	const tick = (entry: Entry): void => {
@@ -93,9 +93,9 @@
 			return;
 		}
 
-		heardAtMs.set(entry.index, nowMs);
-		if ((nowMs - entry.startedAtMs) % listEveryMs === 0) {
-			list(entry);
+		lastReportAtMs.set(entry.index, nowMs);
+		if ((nowMs - entry.startedAtMs) % listIntervalMs === 0) {
+			sendEntryList(entry);
 		}
 
 		const wasJoined = entry.shares.isJoined;
@@ -109,7 +109,7 @@
 			send(entry, ask);
 		}
 
-		later(tickMs, () => {
+		schedule(tickMs, () => {
 			tick(entry);
 		});
 	};
@@ -133,8 +133,8 @@
 				index, admission, shares, startedAtMs: nowMs,
 			};
 			entries[index] = entry;
-			heardAtMs.set(index, nowMs);
-			list(entry);
+			lastReportAtMs.set(index, nowMs);
+			sendEntryList(entry);
 			tick(entry);
 		},
 		stop(index) {
--- a/packages/bench/src/routing/measure-routing.ts
+++ b/packages/bench/src/routing/measure-routing.ts
@@ -4,14 +4,14 @@
 import {
 	capacityPerSecond, endpointCount, goodputOf, goodShareOf, percentileMs, runScenario, type Scenario, type TeamLoad,
 } from './scenario.js';
-import type {World} from './world.js';
+import type {Simulation} from './simulation.js';
 
 const names: readonly PolicyName[] = ['bitternpaddle', 'random', 'roundRobin', 'leastOutstanding'];
 const teamCount = 10;
 const endpointCounts = [120, 1200, 12_000];
-/** As many entries for an endpoint as in the users' target of 330 before 12,000; four at least. */
+/** Keeps the ratio of the target deployment, 330 entries before 12,000 endpoints, but returns at least four entries. */
 const entriesFor = (endpoints: number): number => Math.max(4, Math.round(endpoints * 330 / 12_000));
-/** In percent of the hosts: an adapter whose load has just begun, is half done, is over. */
+/** Percentages of hosts that hold an adapter: at the beginning of its load, halfway, and after it. */
 const holderShares = [10, 50, 100];
 const faultAtMs = 20_000;
 
@@ -19,7 +19,7 @@
 
 const evenLoad = (share: number): TeamLoad[] => Array.from({length: teamCount}, (_, index) => ({teamId: `team-${index}`, requestsPerSecond: capacityPerSecond * share / teamCount}));
 
-/** Small teams at half their share; the large team at ten times its share, or away. */
+/** Small teams send half of their share; the large team sends ten times its share, or nothing. */
 const burstLoad = (hasBurst: boolean): TeamLoad[] => {
 	const share = capacityPerSecond / teamCount;
 	const small = Array.from({length: teamCount - 1}, (_, index) => ({teamId: `small-${index}`, requestsPerSecond: share / 2}));
@@ -37,10 +37,10 @@
 
 const measureOverload = (name: PolicyName, seed: number) => round(goodputOf(runScenario(name, {seed, load: evenLoad(3)})) / goodputOf(runScenario(name, {seed, load: evenLoad(1)})));
 
-const setFault = (world: World, fault: 'lost' | 'failsFast' | 'silent', isHit: (index: number) => boolean): void => {
-	world.at(faultAtMs, () => {
-		for (const [index, endpoint] of world.endpoints.entries()) {
-			if (isHit(index)) {
+const setFault = (simulation: Simulation, fault: 'lost' | 'failsFast' | 'silent', isAffected: (index: number) => boolean): void => {
+	simulation.at(faultAtMs, () => {
+		for (const [index, endpoint] of simulation.endpoints.entries()) {
+			if (isAffected(index)) {
 				endpoint.fault = fault;
 			}
 		}
@@ -74,23 +74,23 @@
 
 const measureCases = (name: PolicyName, seed: number) => ({
 	hallLost: measureFault(name, {
-		seed, load: evenLoad(0.6), faults(world) {
-			setFault(world, 'lost', index => index % 3 === 2);
+		seed, load: evenLoad(0.6), faults(simulation) {
+			setFault(simulation, 'lost', index => index % 3 === 2);
 		},
 	}),
 	hallLostAtFullLoad: measureFault(name, {
-		seed, load: evenLoad(1), faults(world) {
-			setFault(world, 'lost', index => index % 3 === 2);
+		seed, load: evenLoad(1), faults(simulation) {
+			setFault(simulation, 'lost', index => index % 3 === 2);
 		},
 	}),
 	failsFast: measureFault(name, {
-		seed, load: evenLoad(0.6), faults(world) {
-			setFault(world, 'failsFast', index => index === 4);
+		seed, load: evenLoad(0.6), faults(simulation) {
+			setFault(simulation, 'failsFast', index => index === 4);
 		},
 	}),
 	silent: measureFault(name, {
-		seed, load: evenLoad(0.6), faults(world) {
-			setFault(world, 'silent', index => index === 4);
+		seed, load: evenLoad(0.6), faults(simulation) {
+			setFault(simulation, 'silent', index => index === 4);
 		},
 	}),
 	lag3s: measureFault(name, {seed, load: evenLoad(0.8), lagMs: 3000}),
@@ -104,7 +104,7 @@
 	return position === -1 ? 20_261 : Number(flags[position + 1]);
 };
 
-/** Fairness, overload, faults and the cost of a decision, against simple balancers; `--seed N`. */
+/** Measures fairness, overload, faults and the cost of a decision, compared with simple load balancers; `--seed N`. */
 export const measureRouting = async (flags: readonly string[]): Promise<Record<string, unknown>> => {
 	const seed = seedOf(flags);
 	process.stdout.write(`seed ${seed}, capacity ${Math.round(capacityPerSecond)} requests a second\n`);
--- a/packages/bench/src/routing/policies.ts
+++ b/packages/bench/src/routing/policies.ts
@@ -5,14 +5,14 @@
 } from '@bitternpaddle/coordination';
 import {createBenchCatalog} from './catalog.js';
 import type {
-	BenchRequest, ModelEndpoint, SendOutcome, World,
-} from './world.js';
+	BenchRequest, ModelEndpoint, SendOutcome, Simulation,
+} from './simulation.js';
 
-/** What one entry does with the requests that come to it. */
+/** The policy with which one entry handles its incoming requests. */
 export type Policy = {offer(request: BenchRequest): void};
 
 export type PolicyOptions = {
-	readonly world: World;
+	readonly simulation: Simulation;
 	readonly entryId: string;
 	readonly entryIds: readonly string[];
 	/** Weights by team. */
@@ -26,35 +26,35 @@
 const maxAttempts = 3;
 const tickMs = 100;
 
-/** The decisions that the entry runs, with the world in place of sockets. */
-const createOwnPolicy = ({world, entryId, entryIds, teams, router: routerOptions = {}}: PolicyOptions): Policy => {
+/** The entry's real decisions, with the simulation in place of sockets. */
+const createEntryPolicy = ({simulation, entryId, entryIds, teams, router: routerOptions = {}}: PolicyOptions): Policy => {
 	const router = createRouter({
-		entryId, zoneId: 'tacoma-hall', regionId: 'puget', random: createRandom(world.random.between(1, 1e9)), ...routerOptions,
+		entryId, zoneId: 'tacoma-hall', regionId: 'puget', random: createRandom(simulation.random.between(1, 1e9)), ...routerOptions,
 	});
-	updateRouter(router, createBenchCatalog(world.endpoints), null, 0);
+	updateRouter(router, createBenchCatalog(simulation.endpoints), null, 0);
 	setEntries(router, entryIds, 0);
 	const admission = createAdmission({maxQueuedPerTarget: 4096, maxQueuedPerTeam: 2048});
 	setShares(admission, {teams, entries: entryIds.length}, 0);
 	const budget = createRetryBudget({nowMs: 0});
-	const endpointOf = new Map(world.endpoints.map(endpoint => [endpoint.hostId, endpoint]));
+	const endpointOf = new Map(simulation.endpoints.map(endpoint => [endpoint.hostId, endpoint]));
 	const requests = new Map<string, BenchRequest>();
 	const target = {type: 'model', modelId: 'm'} as const;
 	const targetKey = 'm';
 
 	const report = (endpoint: ModelEndpoint): void => {
-		noteLoadReport(router, endpoint.hostId, world.report(endpoint), world.nowMs());
+		noteLoadReport(router, endpoint.hostId, simulation.report(endpoint), simulation.nowMs());
 	};
 
 	const finish = (request: BenchRequest, hasRun: boolean): void => {
-		finishRequest(admission, request.id, {hasRun}, world.nowMs());
+		finishRequest(admission, request.id, {hasRun}, simulation.nowMs());
 		requests.delete(request.id);
 	};
 
-	const place = (request: BenchRequest): void => {
-		const choice = chooseEndpoint(router, {target, tried: request.tried, prefixKey: request.prefix}, world.nowMs());
+	const placeRequest = (request: BenchRequest): void => {
+		const choice = chooseEndpoint(router, {target, tried: request.tried, prefixKey: request.prefix}, simulation.nowMs());
 		if (choice.type === 'chosen') {
 			for (const {hostId} of choice.probes) {
-				world.at(world.nowMs() + 2, () => {
+				simulation.at(simulation.nowMs() + 2, () => {
 					report(endpointOf.get(hostId)!);
 				});
 			}
@@ -69,58 +69,58 @@
 
 	const dispatch = (request: BenchRequest, endpoint: ModelEndpoint): void => {
 		const {hostId} = endpoint;
-		const sentAtMs = world.nowMs();
+		const sentAtMs = simulation.nowMs();
 		let hadFirstByte = false;
 		let latencyMs = 0;
 		request.attempts++;
 		noteStart(router, hostId, sentAtMs);
-		world.send({
+		simulation.send({
 			request, endpoint, canQueue: false,
 			onFirstByte() {
 				hadFirstByte = true;
-				latencyMs = world.nowMs() - sentAtMs;
-				noteFirstByte(router, hostId, world.nowMs());
+				latencyMs = simulation.nowMs() - sentAtMs;
+				noteFirstByte(router, hostId, simulation.nowMs());
 				report(endpoint);
 			},
 			onEnd(outcome) {
-				noteEnd(router, hostId, {outcome: outcome === 'answered' ? {type: 'answered', latencyMs} : {type: outcome}, hadFirstByte}, world.nowMs());
-				settle(request, endpoint, outcome);
-				pump();
+				noteEnd(router, hostId, {outcome: outcome === 'answered' ? {type: 'answered', latencyMs} : {type: outcome}, hadFirstByte}, simulation.nowMs());
+				handleOutcome(request, endpoint, outcome);
+				dispatchQueued();
 			},
 		});
 	};
 
-	const settle = (request: BenchRequest, endpoint: ModelEndpoint, outcome: SendOutcome): void => {
+	const handleOutcome = (request: BenchRequest, endpoint: ModelEndpoint, outcome: SendOutcome): void => {
 		if (outcome === 'answered') {
-			request.answeredAtMs = world.nowMs();
+			request.answeredAtMs = simulation.nowMs();
 			finish(request, true);
 		} else if (outcome === 'full') {
 			returnToQueue(admission, request.id);
-		} else if (request.attempts < maxAttempts && world.nowMs() < request.deadlineAtMs && takeRetry(budget, world.nowMs())) {
+		} else if (request.attempts < maxAttempts && simulation.nowMs() < request.deadlineAtMs && takeRetry(budget, simulation.nowMs())) {
 			request.tried.add(endpoint.hostId);
-			place(request);
+			placeRequest(request);
 		} else {
 			finish(request, false);
 		}
 	};
 
-	const pump = (): void => {
-		// At most one pass over what waits: a request that finds no place goes back.
+	const dispatchQueued = (): void => {
+		// At most one pass over the queue: a request that finds no free slot is returned to it.
 		for (let left = waitingFor(admission, targetKey); left > 0 && hasRoom(router, target); left--) {
-			const {request} = takeRequest(admission, targetKey, world.nowMs());
+			const {request} = takeRequest(admission, targetKey, simulation.nowMs());
 			if (request === null) {
 				return;
 			}
 
-			place(requests.get(request.requestId)!);
+			placeRequest(requests.get(request.requestId)!);
 		}
 	};
 
 	const tick = (): void => {
-		tickRouter(router, world.nowMs());
-		tickAdmission(admission, world.nowMs());
-		pump();
-		world.at(world.nowMs() + tickMs, tick);
+		tickRouter(router, simulation.nowMs());
+		tickAdmission(admission, simulation.nowMs());
+		dispatchQueued();
+		simulation.at(simulation.nowMs() + tickMs, tick);
 	};
 
 	tick();
@@ -129,29 +129,29 @@
 			noteFreshRequest(budget);
 			const {type} = offerRequest(admission, {
 				requestId: request.id, teamId: request.teamId, target: targetKey, cost: request.tokens + (request.promptTokens / 20), priority: 0, deadlineAtMs: request.deadlineAtMs,
-			}, world.nowMs());
+			}, simulation.nowMs());
 			if (type === 'queued') {
 				requests.set(request.id, request);
-				world.at(request.deadlineAtMs, () => {
+				simulation.at(request.deadlineAtMs, () => {
 					cancelRequest(admission, request.id);
 				});
-				pump();
+				dispatchQueued();
 			}
 		},
 	};
 };
 
-/** A simple balancer: picks at once, and the endpoint's own queue takes what is too much, first come first served. */
-const createBaseline = (name: Exclude<PolicyName, 'bitternpaddle'>, {world}: PolicyOptions): Policy => {
-	const outstanding = new Map<string, number>(world.endpoints.map(endpoint => [endpoint.hostId, 0]));
+/** A simple load balancer: selects an endpoint immediately, and the endpoint's own FIFO queue holds the excess requests. */
+const createBaseline = (name: Exclude<PolicyName, 'bitternpaddle'>, {simulation}: PolicyOptions): Policy => {
+	const outstanding = new Map<string, number>(simulation.endpoints.map(endpoint => [endpoint.hostId, 0]));
 	let next = 0;
-	const pick = ({tried}: BenchRequest): ModelEndpoint => {
-		const untried = world.endpoints.filter(endpoint => !tried.has(endpoint.hostId));
+	const pickEndpoint = ({tried}: BenchRequest): ModelEndpoint => {
+		const untried = simulation.endpoints.filter(endpoint => !tried.has(endpoint.hostId));
 		if (name === 'roundRobin') {
 			return untried[next++ % untried.length]!;
 		}
 
-		const offset = world.random.between(0, untried.length - 1);
+		const offset = simulation.random.between(0, untried.length - 1);
 		if (name === 'random') {
 			return untried[offset]!;
 		}
@@ -166,23 +166,23 @@
 	};
 
 	const offer = (request: BenchRequest): void => {
-		const endpoint = pick(request);
-		const count = (change: number): void => {
+		const endpoint = pickEndpoint(request);
+		const changeOutstanding = (change: number): void => {
 			outstanding.set(endpoint.hostId, outstanding.get(endpoint.hostId)! + change);
 		};
 
 		request.attempts++;
-		count(1);
-		world.send({
+		changeOutstanding(1);
+		simulation.send({
 			request, endpoint, canQueue: true,
 			onFirstByte() {
-				// A plain balancer learns nothing from it.
+				// A simple load balancer does not use the first byte.
 			},
 			onEnd(outcome) {
-				count(-1);
+				changeOutstanding(-1);
 				if (outcome === 'answered') {
-					request.answeredAtMs = world.nowMs();
-				} else if (request.attempts < maxAttempts && world.nowMs() < request.deadlineAtMs) {
+					request.answeredAtMs = simulation.nowMs();
+				} else if (request.attempts < maxAttempts && simulation.nowMs() < request.deadlineAtMs) {
 					request.tried.add(endpoint.hostId);
 					offer(request);
 				}
@@ -193,4 +193,4 @@
 	return {offer};
 };
 
-export const createPolicy = (name: PolicyName, options: PolicyOptions): Policy => name === 'bitternpaddle' ? createOwnPolicy(options) : createBaseline(name, options);
+export const createPolicy = (name: PolicyName, options: PolicyOptions): Policy => name === 'bitternpaddle' ? createEntryPolicy(options) : createBaseline(name, options);
--- a/packages/bench/src/routing/world.ts
+++ b/packages/bench/src/routing/simulation.ts
@@ -19,7 +19,7 @@
 
 export type EndpointFault = 'none' | 'lost' | 'failsFast' | 'silent';
 
-/** A modelled endpoint: a batch of limited size, a queue before it, a small cache of prefixes, reports that lag. */
+/** A simulated endpoint: a batch of limited size, a queue, a small prefix cache, and load reports that lag behind. */
 export type ModelEndpoint = {
 	readonly hostId: string;
 	readonly zoneId: string;
@@ -27,7 +27,7 @@
 	fault: EndpointFault;
 	running: number;
 	readonly queue: Array<() => void>;
-	/** Cached prefixes, the least recently used first. */
+	/** Cached prefixes, least recently used first. */
 	readonly cache: Set<string>;
 	reportedRunning: number;
 	reportedAtMs: number;
@@ -39,7 +39,7 @@
 export type SendOptions = {
 	readonly request: BenchRequest;
 	readonly endpoint: ModelEndpoint;
-	/** Whether the endpoint queues what it has no room for; it refuses otherwise, as the door does. */
+	/** Whether the endpoint queues requests while it has no free slot; otherwise it refuses them, as the request gate does. */
 	readonly canQueue: boolean;
 	onFirstByte(): void;
 	onEnd(outcome: SendOutcome): void;
@@ -49,33 +49,33 @@
 const msPerToken = 10;
 const msPerPromptToken = 0.5;
 const cachedPrefixes = 8;
-/** A full batch takes this much longer for each token than a single request. */
+/** Share by which each token takes longer in a full batch than in a single request. */
 const batchSlowdown = 0.5;
 
 export const fullBatchMs = (tokens: number, promptTokens: number): number => (tokens * msPerToken * (1 + batchSlowdown)) + (promptTokens * msPerPromptToken);
 
-export type World = {
+export type Simulation = {
 	readonly random: Random;
 	readonly endpoints: readonly ModelEndpoint[];
 	nowMs(): number;
 	at(atMs: number, action: () => void): void;
 	send(options: SendOptions): void;
-	/** What an endpoint reports now; it is as old as its lag. */
+	/** Returns the current load report of an endpoint, which is up to `lagMs` old. */
 	report(endpoint: ModelEndpoint): {readonly running: number; readonly ageMs: number};
 	run(untilMs: number): void;
 };
 
-export type WorldOptions = {
+export type SimulationOptions = {
 	readonly seed: number;
 	readonly endpoints: number;
 	readonly capacity: number;
-	/** How old a load report can be. */
+	/** Maximum age of a load report. */
 	readonly lagMs: number;
 };
 
 const zones = ['tacoma-hall', 'salem-hall', 'spokane-hall'];
 
-export const createWorld = ({seed, endpoints: count, capacity, lagMs}: WorldOptions): World => {
+export const createSimulation = ({seed, endpoints: count, capacity, lagMs}: SimulationOptions): Simulation => {
 	const random = createRandom(seed);
 	const events = new TinyQueue<{readonly atMs: number; readonly order: number; readonly action: () => void}>([], (a, b) => a.atMs - b.atMs || a.order - b.order);
 	let nowMs = 0;
@@ -91,7 +91,7 @@
 
 	const start = ({request, endpoint, onFirstByte, onEnd}: SendOptions): void => {
 		endpoint.running++;
-		request.isCacheHit = touchCache(endpoint, request.prefix);
+		request.isCacheHit = useCache(endpoint, request.prefix);
 		const promptMs = request.promptTokens * msPerPromptToken * (request.isCacheHit ? 0.1 : 1);
 		const answerMs = request.tokens * msPerToken * (1 + (batchSlowdown * endpoint.running / endpoint.capacity));
 		endpoint.workMs += promptMs + answerMs;
@@ -155,7 +155,7 @@
 	};
 };
 
-const touchCache = ({cache}: ModelEndpoint, prefix: string | null): boolean => {
+const useCache = ({cache}: ModelEndpoint, prefix: string | null): boolean => {
 	if (prefix === null) {
 		return false;
 	}
