--- a/packages/bench/src/burn.ts
+++ b/packages/bench/src/burn.ts
@@ -34,19 +34,19 @@
 
 type Counts = Omit<BurnAnswer, 'entryId'>;
 
-type MergeCost = {readonly mergeMs: number; readonly longestStepMs: number; readonly mergeBytes: number; readonly rows: number};
+type MergeCost = {readonly mergeMs: number; readonly maxStepMs: number; readonly mergeBytes: number; readonly rows: number};
 
 /** Merges responses as an entry does, except that it does not yield to other work between two steps. */
 const mergeResponses = (answers: readonly Counts[]): MergeCost => {
 	const before = heapBytes();
 	const merge = createBurnMerge();
 	const options = {nowMs: endMs, missingEntries: [], objectives: new Map<string, never>()};
-	let longestStepMs = 0;
+	let maxStepMs = 0;
 	let mergeMs = 0;
 	let stepStartedMs = performance.now();
 	const recordStep = (): void => {
 		const stepMs = performance.now() - stepStartedMs;
-		longestStepMs = Math.max(longestStepMs, stepMs);
+		maxStepMs = Math.max(maxStepMs, stepMs);
 		mergeMs += stepMs;
 		stepStartedMs = performance.now();
 	};
@@ -64,7 +64,7 @@
 	}
 
 	return {
-		mergeMs, longestStepMs, mergeBytes: heapBytes() - before, rows,
+		mergeMs, maxStepMs, mergeBytes: heapBytes() - before, rows,
 	};
 };
 
@@ -79,7 +79,7 @@
 	const merge = createBurnMerge();
 	let parseMs = 0;
 	let maxParseMs = 0;
-	let longestStepMs = 0;
+	let maxStepMs = 0;
 	for (let entry = 0; entry < entries; entry++) {
 		const parseStartedMs = performance.now();
 		const answer = burnAnswerSchema.parse(JSON.parse(text));
@@ -88,7 +88,7 @@
 		maxParseMs = Math.max(maxParseMs, lastParseMs);
 		let stepStartedMs = performance.now();
 		for (const _step of addBurnAnswer(merge, {...answer, entryId: `e${entry}`})) {
-			longestStepMs = Math.max(longestStepMs, performance.now() - stepStartedMs);
+			maxStepMs = Math.max(maxStepMs, performance.now() - stepStartedMs);
 			stepStartedMs = performance.now();
 		}
 	}
@@ -97,7 +97,7 @@
 	const report = burnReportOf(merge, options, [...burnRowsByService(merge, options)].flat());
 	return {
 		entries, pairs, rows: report.rows.length, heardEntries: report.heardEntries.length, answerBytes: text.length, totalMs: Math.round(performance.now() - startedMs),
-		parseMs: Math.round(parseMs), longestParseMs: Math.round(maxParseMs), longestStepMs: Math.round(longestStepMs), mergeBytes: heapBytes() - before,
+		parseMs: Math.round(parseMs), longestParseMs: Math.round(maxParseMs), longestStepMs: Math.round(maxStepMs), mergeBytes: heapBytes() - before,
 		residentBytes: process.memoryUsage().rss,
 	};
 };
@@ -122,7 +122,7 @@
 			memoryBytesPerPair: Math.round(memoryBytes / pairs),
 			wireBytesPerPair: Math.round(wireBytes / pairs),
 			exportMs: Math.round(reportedMs - exportedMs),
-			mergeThreeEntriesMs: Math.round(mergedThree.mergeMs), longestMergeStepMs: Math.round(mergedThree.longestStepMs),
+			mergeThreeEntriesMs: Math.round(mergedThree.mergeMs), longestMergeStepMs: Math.round(mergedThree.maxStepMs),
 		};
 	});
 	for (const point of points) {
--- a/packages/bench/src/burst.ts
+++ b/packages/bench/src/burst.ts
@@ -172,6 +172,7 @@
 		const second = await loadVersion(cluster, 1);
 		isOver = true;
 		await calling;
+		// Lower bound: every agent receives the version once at the full rate of its link.
 		const floorSeconds = sizeBytes / linkBytesPerSecond;
 		const p99Ms = (latencies: Histogram): number => latencies.getValueAtPercentile(99) / 1000;
 		const phaseResult = (phase: Phase) => ({answered: during.latenciesOf[phase].totalCount, p99Ms: p99Ms(during.latenciesOf[phase])});
--- a/packages/bench/src/capacity/measure-control.ts
+++ b/packages/bench/src/capacity/measure-control.ts
@@ -114,29 +114,29 @@
  * other so closely that no host's long poll expires between them: each change costs
  * one renewal per host, and no idle renewals need to be subtracted.
  */
-const measureLeader = async ({leader}: Controls, lines: Lines): Promise<void> => {
+const measureLeader = async ({leader}: Controls, slopePoints: SlopePoints): Promise<void> => {
 	await measureWithWatchers(leader.address, async clients => {
 		const x = clients.length;
 		const idle = await measureIdleUsage(leader);
-		lines['control.watch.processor'].push({x, y: idle.processorMs});
-		lines['control.watch.bytes'].push({x, y: idle.transferBytes});
-		lines['control.watch.memory'].push({x, y: (await readMemory(leader.pid)).privateBytes});
+		slopePoints['control.watch.processor'].push({x, y: idle.processorMs});
+		slopePoints['control.watch.bytes'].push({x, y: idle.transferBytes});
+		slopePoints['control.watch.memory'].push({x, y: (await readMemory(leader.pid)).privateBytes});
 		let latencyMs = 0;
 		const busy = await measureUsage(leader.pid, async () => {
 			latencyMs = await measureChanges(clients, x * 100);
 		});
-		lines['control.change.processor'].push({x, y: busy.processorMs / changes});
-		lines['control.change.bytes'].push({x, y: busy.transferBytes / changes});
-		lines['control.change.latency'].push({x, y: latencyMs});
+		slopePoints['control.change.processor'].push({x, y: busy.processorMs / changes});
+		slopePoints['control.change.bytes'].push({x, y: busy.transferBytes / changes});
+		slopePoints['control.change.latency'].push({x, y: latencyMs});
 	});
 };
 
 /** Measures hosts that watch a follower, which aggregates their reports into messages to the leader. */
-const measureAggregation = async ({leader, followers}: Controls, lines: Lines): Promise<void> => measureWithWatchers(followers[0]!.address, async clients => {
+const measureAggregation = async ({leader, followers}: Controls, slopePoints: SlopePoints): Promise<void> => measureWithWatchers(followers[0]!.address, async clients => {
 	const x = clients.length;
 	const idle = await measureIdleUsage(leader);
-	lines['control.fold.processor'].push({x, y: idle.processorMs});
-	lines['control.fold.bytes'].push({x, y: idle.transferBytes});
+	slopePoints['control.fold.processor'].push({x, y: idle.processorMs});
+	slopePoints['control.fold.bytes'].push({x, y: idle.transferBytes});
 });
 
 const controlSlopes = [
@@ -152,18 +152,18 @@
 	'control.fold.bytes',
 ] as const satisfies readonly SlopeName[];
 
-type Lines = Record<typeof controlSlopes[number], Point[]>;
+type SlopePoints = Record<typeof controlSlopes[number], Point[]>;
 
 /** Measures what each further member costs the leader while idle: heartbeats and their responses. */
-const measureMembers = async (lines: Lines): Promise<void> => {
+const measureMembers = async (slopePoints: SlopePoints): Promise<void> => {
 	for (const count of memberCounts) {
 		await withTemporaryFolder(async folder => {
 			const controls = await startControls(folder, count);
 			try {
 				await delay(2000);
 				const idle = await measureIdleUsage(controls.leader);
-				lines['control.member.processor'].push({x: count - 1, y: idle.processorMs});
-				lines['control.member.bytes'].push({x: count - 1, y: idle.transferBytes});
+				slopePoints['control.member.processor'].push({x: count - 1, y: idle.processorMs});
+				slopePoints['control.member.bytes'].push({x: count - 1, y: idle.transferBytes});
 			} finally {
 				await controls.terminate();
 			}
@@ -173,18 +173,18 @@
 
 /** Measures slopes of real control processes, with a separate cluster for each part. */
 export const measureControl = async (): Promise<Measured> => {
-	const lines = Object.fromEntries(controlSlopes.map(name => [name, [] as Point[]])) as Lines;
-	await measureMembers(lines);
+	const slopePoints = Object.fromEntries(controlSlopes.map(name => [name, [] as Point[]])) as SlopePoints;
+	await measureMembers(slopePoints);
 	for (const measure of [measureLeader, measureAggregation]) {
 		await withTemporaryFolder(async folder => {
 			const controls = await startControls(folder);
 			try {
-				await measure(controls, lines);
+				await measure(controls, slopePoints);
 			} finally {
 				await controls.terminate();
 			}
 		});
 	}
 
-	return lines;
+	return slopePoints;
 };
--- a/packages/bench/src/capacity/measure-host.ts
+++ b/packages/bench/src/capacity/measure-host.ts
@@ -29,7 +29,7 @@
 	const control = await createFakeControl({catalog: () => catalog});
 	const host = startHost(role, control.address, folder);
 	try {
-		await waitUntil(`${role} took the catalog`, async () => control.reports.get(`measured-${role}`)?.revision === catalog.revision);
+		await waitUntil(`the ${role} has received the catalog`, async () => control.reports.get(`measured-${role}`)?.revision === catalog.revision);
 		await delay(garbageCollectionMs);
 		return await readMemory(host.pid);
 	} finally {
@@ -44,7 +44,7 @@
 	const control = await createFakeControl({catalog: () => catalog});
 	const host = startHost(role, control.address, folder);
 	try {
-		await waitUntil(`${role} took the catalog`, async () => control.reports.get(`measured-${role}`)?.revision === catalog.revision);
+		await waitUntil(`the ${role} has received the catalog`, async () => control.reports.get(`measured-${role}`)?.revision === catalog.revision);
 		await delay(garbageCollectionMs);
 		const processor: Point[] = [];
 		const bytes: Point[] = [];
@@ -67,14 +67,14 @@
 
 /** Measures entry and agent processes in isolation: idle usage, and memory by the size of the catalog up to that of the target deployment. */
 export const measureHosts = async (): Promise<Measured> => {
-	const lines: Measured = {};
+	const slopePoints: Measured = {};
 	await Promise.all((['entry', 'agent'] as const).map(async role => {
 		const {processor, bytes} = await measureIdle(role);
-		lines[`${role}.idle.processor`] = processor;
-		lines[`${role}.idle.bytes`] = bytes;
-		lines[`${role}.catalog.memory`] = await Promise.all(hostCounts.map(async x => ({x, y: (await measureMemory(role, x)).privateBytes})));
+		slopePoints[`${role}.idle.processor`] = processor;
+		slopePoints[`${role}.idle.bytes`] = bytes;
+		slopePoints[`${role}.catalog.memory`] = await Promise.all(hostCounts.map(async x => ({x, y: (await measureMemory(role, x)).privateBytes})));
 	}));
-	return lines;
+	return slopePoints;
 };
 
 /** Measures processes with an almost empty catalog, and an empty Node process for comparison. */
--- a/packages/bench/src/capacity/measure-state.ts
+++ b/packages/bench/src/capacity/measure-state.ts
@@ -182,50 +182,50 @@
 
 /** Measures slopes over the number of hosts in the catalog and over the state that control retains. */
 export const measureState = async (): Promise<Measured> => {
-	const lines = Object.fromEntries(stateSlopes.map(name => [name, [] as Point[]])) as Record<typeof stateSlopes[number], Point[]>;
+	const slopePoints = Object.fromEntries(stateSlopes.map(name => [name, [] as Point[]])) as Record<typeof stateSlopes[number], Point[]>;
 	for (const x of hostCounts) {
-		lines['control.host.memory'].push({x, y: catalogBytes(x)});
+		slopePoints['control.host.memory'].push({x, y: catalogBytes(x)});
 		const state = createSampleState(x);
 		const {catalog} = state;
 		const router = createFilledRouter(catalog);
-		lines['host.catalog.size'].push({x, y: JSON.stringify(catalog).length});
-		lines['entry.index.memory'].push({x, y: heapBytesOf(() => createFilledRouter(catalog))});
-		lines['entry.index.processor'].push({
+		slopePoints['host.catalog.size'].push({x, y: JSON.stringify(catalog).length});
+		slopePoints['entry.index.memory'].push({x, y: heapBytesOf(() => createFilledRouter(catalog))});
+		slopePoints['entry.index.processor'].push({
 			x, y: millisecondsOf(() => {
 				updateRouter(router, catalog, null, 1);
 			}, 20),
 		});
 		const presence = createFilledPresence(x);
-		lines['control.reconcile.processor'].push({
+		slopePoints['control.reconcile.processor'].push({
 			x, y: millisecondsOf(() => planMembership({
 				catalog, presence, budget: createLossBudget(), nowMs: 1, hostLossMs: 10_000,
 			}), 20),
 		});
 		const snapshot = await measureSnapshot(state);
-		lines['control.snapshot.size'].push({x, y: snapshot.sizeBytes});
-		lines['control.snapshot.time'].push({x, y: snapshot.tookMs});
-		lines['control.snapshot.stall'].push({x, y: snapshot.stallMs});
+		slopePoints['control.snapshot.size'].push({x, y: snapshot.sizeBytes});
+		slopePoints['control.snapshot.time'].push({x, y: snapshot.tookMs});
+		slopePoints['control.snapshot.stall'].push({x, y: snapshot.stallMs});
 		const {leaveMs, joinMs} = measureMembership(catalog);
-		lines['host.leave.processor'].push({x, y: leaveMs});
-		lines['host.join.processor'].push({x, y: joinMs});
+		slopePoints['host.leave.processor'].push({x, y: leaveMs});
+		slopePoints['host.join.processor'].push({x, y: joinMs});
 	}
 
 	for (const x of [750, 1500, 2250, 3000]) {
-		lines['host.load.processor'].push({x: (x / 1000) ** 2, y: measureLoad(createSampleState(x))});
+		slopePoints['host.load.processor'].push({x: (x / 1000) ** 2, y: measureLoad(createSampleState(x))});
 	}
 
 	for (const x of claimCounts) {
-		lines['control.claim.memory'].push({x, y: ledgerBytes(x, 0)});
-		lines['control.result.memory'].push({x, y: ledgerBytes(0, x)});
+		slopePoints['control.claim.memory'].push({x, y: ledgerBytes(x, 0)});
+		slopePoints['control.result.memory'].push({x, y: ledgerBytes(0, x)});
 	}
 
 	for (const x of changeCounts) {
 		const {sizeBytes, restartMs} = await measureLog(x);
-		lines['control.log.size'].push({x, y: sizeBytes});
-		lines['control.restart.time'].push({x, y: restartMs});
+		slopePoints['control.log.size'].push({x, y: sizeBytes});
+		slopePoints['control.restart.time'].push({x, y: restartMs});
 	}
 
-	return lines;
+	return slopePoints;
 };
 
 const stateSlopes = [
--- a/packages/bench/src/control/control.ts
+++ b/packages/bench/src/control/control.ts
@@ -57,7 +57,7 @@
 		await propose(others);
 		all.push(Math.round(performance.now() - startedAtMs));
 		group.start(leader);
-		await waitUntil('it is back', async () => (await group.readiness(leader))?.isReady ?? false);
+		await waitUntil('the former leader is ready again', async () => (await group.readiness(leader))?.isReady ?? false);
 	}
 
 	return {p50: percentile(all, 0.5), worst: Math.max(...all), all};
@@ -162,7 +162,7 @@
 	const nodes = await Promise.all(voters.map(async selfId => createControlNode({
 		selfId, folder: path.join(folder, selfId), members, voters,
 	})));
-	await waitUntil('there is a leader', async () => nodes.some(node => node.isLeader()));
+	await waitUntil('a leader is elected', async () => nodes.some(node => node.isLeader()));
 	const leader = nodes.find(node => node.isLeader())!;
 	const histogram = buildHistogram({numberOfSignificantValueDigits: 3});
 	const syncsBefore = leader.syncCount();
@@ -205,7 +205,7 @@
 	isOver = true;
 	await proposers;
 	group.start(leader);
-	await waitUntil('it is back', async () => (await group.readiness(leader))?.isReady ?? false);
+	await waitUntil('the former leader is ready again', async () => (await group.readiness(leader))?.isReady ?? false);
 	return Math.round(Math.max(...acceptedAtMs.slice(1).map((atMs, position) => atMs - acceptedAtMs[position]!)));
 };
 
--- a/packages/bench/src/distribution/links.ts
+++ b/packages/bench/src/distribution/links.ts
@@ -1,5 +1,6 @@
 import type {SwarmPeer} from '@bitternpaddle/coordination';
 
+/** `duplex`: each direction of a host's link has the full rate; `shared`: both directions share it. */
 export type LinkMode = 'duplex' | 'shared';
 
 export type LinkModel = {
--- a/packages/bench/src/distribution/scenario.ts
+++ b/packages/bench/src/distribution/scenario.ts
@@ -16,6 +16,7 @@
 /** 1 Gbit/s for transfers; the origin has twice this rate. */
 export const linkBytesPerMs = 125_000;
 const requestBytes = 1024;
+/** Lower bound of the transfer time: all chunks once over the link of one host. */
 export const floorMs = totalChunks * chunkSizeBytes / linkBytesPerMs;
 
 export const createLinkModel = (mode: LinkMode): LinkModel => ({
