--- a/packages/daemon/test/rpc-packing.test.ts
+++ b/packages/daemon/test/rpc-packing.test.ts
@@ -27,7 +27,7 @@
 	name: `route-${index}`, prefix: `/p${index}/`, timeoutMs: 6000, objectiveMs: 400, maxAttempts: 2,
 })));
 
-t.test('long calls and answers are packed, short ones are not', async t => {
+t.test('long calls and responses are compressed, short ones are not', async t => {
 	const {address, lengths} = await start(t);
 	t.same(await callRpc({
 		address, method: 'echo', params: {text: routes}, isPacked: true, timeoutMs: 5000,
@@ -36,15 +36,15 @@
 	await callRpc({
 		address, method: 'echo', params: {text: routes}, timeoutMs: 5000,
 	});
-	t.ok(lengths[1]! > routes.length, 'who does not ask for it sends and gets plain text');
+	t.ok(lengths[1]! > routes.length, 'without the option, calls and responses are plain text');
 	t.same(await callRpc({
 		address, method: 'echo', params: {text: 'short'}, isPacked: true, timeoutMs: 5000,
 	}), {text: 'short'});
 });
 
-// Somebody sends a small body that unpacks to far more than a call may have. Taken
-// whole, it would fill the host's memory; it is refused before that.
-t.test('a body that unpacks to more than the limit is refused', async t => {
+// A client sends a small body that decompresses to far more than the size limit of a
+// call. Decompressed completely, it would exhaust the host's memory; it is refused first.
+t.test('a body that decompresses to more than the limit is refused', async t => {
 	const {address} = await start(t);
 	const body = gzipSync(Buffer.alloc(5_000_000, 32));
 	const response = await sendHttp({
--- a/packages/transport/src/http/address.ts
+++ b/packages/transport/src/http/address.ts
@@ -1,4 +1,4 @@
-/** `ip:port`; processes talk by IP numbers only. */
+/** A parsed `ip:port`. Processes connect by IP address only; host names are not resolved. */
 export type Address = {readonly host: string; readonly port: number};
 
 export const parseAddress = (text: string): Address => {
--- a/packages/transport/src/http/body-budget.ts
+++ b/packages/transport/src/http/body-budget.ts
@@ -1,56 +1,57 @@
 import type http from 'node:http';
 import {OverloadError, refuseRequest} from './overload.js';
 
-/** Counts one request's body while it is read. */
+/** Counts the bytes of one request body while it is read. */
 export type BodyMeter = {
-	/** Throws `OverloadError` once this body was given up. */
+	/** Throws `OverloadError` once the request has been refused. */
 	add(sizeBytes: number): void;
 	isRefused(): boolean;
 };
 
 export type BodyBudget = {
 	open(request: http.IncomingMessage, response: http.ServerResponse): BodyMeter;
-	/** Gives up the unfinished body that has been open for the longest; `false` if there is none. */
+	/** Refuses the request with an incomplete body that has been open for the longest; `false` if there is none. */
 	refuseOldest(reason: string): boolean;
 	bufferedBytes(): number;
 };
 
-type Body = {readonly request: http.IncomingMessage; readonly response: http.ServerResponse; sizeBytes: number; isRefused: boolean};
+type OpenBody = {readonly request: http.IncomingMessage; readonly response: http.ServerResponse; sizeBytes: number; isRefused: boolean};
 
 const meters = new WeakMap<http.IncomingMessage, BodyMeter>();
 
-/** The meter of a request that a server with a budget received. */
-export const meterOf = (message: http.IncomingMessage): BodyMeter | undefined => meters.get(message);
+/** The body meter of a request received by a server with a body budget. */
+export const bodyMeterOf = (message: http.IncomingMessage): BodyMeter | undefined => meters.get(message);
 
-/** Only a request that is still on its way can be told for certain that it did not run. */
-const isUnfinished = ({request, response, isRefused}: Body): boolean => !isRefused && !request.complete && !response.headersSent;
+/** Only a request that has not completely arrived can be refused with certainty that it did not run. */
+const isIncomplete = ({request, response, isRefused}: OpenBody): boolean => !isRefused && !request.complete && !response.headersSent;
 
 /**
- * Bounds the bytes of all bodies together. Without it, every connection could
- * hold a body of the greatest size, and the process would be killed for its
- * memory with all that runs in it. What gives way is the largest unfinished
- * body, so senders of usual requests are not shut out by a few large ones.
+ * Bounds the total bytes of all request bodies. Without the bound, every
+ * connection could hold a body of the maximum size, and the process would be
+ * killed for its memory use with every request it runs. Over the limit, the
+ * request with the largest incomplete body is refused, so that a few large
+ * requests do not crowd out those of usual size.
  */
 export const createBodyBudget = (maxBufferedBytes: number): BodyBudget => {
-	const bodies = new Set<Body>();
+	const bodies = new Set<OpenBody>();
 	let totalBytes = 0;
 
-	const release = (body: Body): void => {
+	const release = (body: OpenBody): void => {
 		bodies.delete(body);
 		totalBytes -= body.sizeBytes;
 		body.sizeBytes = 0;
 	};
 
-	const refuse = (body: Body, reason: string): void => {
+	const refuse = (body: OpenBody, reason: string): void => {
 		body.isRefused = true;
 		release(body);
 		refuseRequest(body.response, reason);
 	};
 
-	const largestUnfinished = (): Body | undefined => {
-		let largest: Body | undefined;
+	const largestIncomplete = (): OpenBody | undefined => {
+		let largest: OpenBody | undefined;
 		for (const body of bodies) {
-			if (isUnfinished(body) && body.sizeBytes > (largest?.sizeBytes ?? 0)) {
+			if (isIncomplete(body) && body.sizeBytes > (largest?.sizeBytes ?? 0)) {
 				largest = body;
 			}
 		}
@@ -58,22 +59,22 @@
 		return largest;
 	};
 
-	const isOver = (): boolean => totalBytes > maxBufferedBytes;
+	const isOverLimit = (): boolean => totalBytes > maxBufferedBytes;
 
-	const makeRoom = (): void => {
-		while (isOver()) {
-			const body = largestUnfinished();
+	const refuseWhileOverLimit = (): void => {
+		while (isOverLimit()) {
+			const body = largestIncomplete();
 			if (body === undefined) {
 				return;
 			}
 
-			refuse(body, `more than ${maxBufferedBytes} bytes of requests are held here`);
+			refuse(body, `the server already buffers more than ${maxBufferedBytes} bytes of request bodies`);
 		}
 	};
 
 	return {
 		open(request, response) {
-			const body: Body = {
+			const body: OpenBody = {
 				request, response, sizeBytes: 0, isRefused: false,
 			};
 			bodies.add(body);
@@ -85,11 +86,11 @@
 					if (!body.isRefused) {
 						body.sizeBytes += sizeBytes;
 						totalBytes += sizeBytes;
-						makeRoom();
+						refuseWhileOverLimit();
 					}
 
 					if (body.isRefused) {
-						throw new OverloadError('the body was given up');
+						throw new OverloadError('the request was refused before its body had arrived completely');
 					}
 				},
 				isRefused: () => body.isRefused,
@@ -99,7 +100,7 @@
 		},
 		refuseOldest(reason) {
 			for (const body of bodies) {
-				if (isUnfinished(body)) {
+				if (isIncomplete(body)) {
 					refuse(body, reason);
 					return true;
 				}
--- a/packages/transport/src/http/connection-limit.ts
+++ b/packages/transport/src/http/connection-limit.ts
@@ -3,34 +3,35 @@
 
 export type ConnectionLimitOptions = {
 	readonly maxConnections: number;
-	/** Ends a connection whose request is only half sent; `false` if there is none. */
-	endUnfinished(reason: string): boolean;
+	/** Ends a connection whose request has not completely arrived; `false` if there is none. */
+	refuseIncomplete(reason: string): boolean;
 };
 
-/** Keeps the number of open connections bounded. */
+/** Bounds the number of open connections. */
 export type ConnectionLimit = {
-	/** Takes a new connection or refuses it. */
+	/** Accepts or refuses a new connection. */
 	open(socket: Duplex): void;
-	/** A request has arrived; `false` if its connection was refused before, and the request must not run. */
+	/** Records the start of a request; `false` if its connection was refused before, and the request must not run. */
 	begin(socket: Duplex): boolean;
-	/** A request's answer has ended. */
+	/** Records the end of a request's response. */
 	end(socket: Duplex): void;
 	openCount(): number;
 };
 
-/** Refused connections that may still be read until their sender has seen the answer; more are cut. */
+/** Refused connections that stay open until their sender has read the response; beyond this number they are destroyed at once. */
 const maxClosing = 256;
-const closingMs = 1000;
+const closingTimeoutMs = 1000;
 
 /**
- * When all places are taken, the connection that has been without a request
- * for the longest makes way, then one whose request is only half sent. Without
- * this, idle connections would keep every caller out until they time out. Both
- * are told that nothing ran, which holds for whatever they are just sending.
- * Connections with a whole request are never touched.
+ * At the limit, a new connection replaces the one that has been idle for the
+ * longest, or else one whose request has not completely arrived. Without this,
+ * idle connections would keep every caller out until they time out. The
+ * replaced connection gets a "not run" response, which is true of any request
+ * that its client is sending at that moment. Connections with a complete
+ * request are never closed.
  */
-export const createConnectionLimit = ({maxConnections, endUnfinished}: ConnectionLimitOptions): ConnectionLimit => {
-	const reason = `all ${maxConnections} connections are taken`;
+export const createConnectionLimit = ({maxConnections, refuseIncomplete}: ConnectionLimitOptions): ConnectionLimit => {
+	const reason = `the server has reached its limit of ${maxConnections} connections`;
 	const running = new Map<Duplex, number>();
 	const idle = new Set<Duplex>();
 	const closing = new Set<Duplex>();
@@ -45,7 +46,7 @@
 		closing.add(socket);
 		const timer = setTimeout(() => {
 			socket.destroy();
-		}, closingMs);
+		}, closingTimeoutMs);
 		socket.once('close', () => {
 			clearTimeout(timer);
 			closing.delete(socket);
@@ -53,32 +54,32 @@
 		refuseSocket(socket, reason);
 	};
 
-	const forget = (socket: Duplex): void => {
+	const untrack = (socket: Duplex): void => {
 		if (running.delete(socket) || idle.delete(socket)) {
 			count--;
 		}
 	};
 
-	/** Whether there is a place for one more connection. */
-	const makeRoom = (): boolean => {
+	/** Closes a connection if the limit is reached; returns whether one more can be accepted. */
+	const ensureCapacity = (): boolean => {
 		if (count < maxConnections) {
 			return true;
 		}
 
 		const [longestIdle] = idle;
 		if (longestIdle !== undefined) {
-			forget(longestIdle);
+			untrack(longestIdle);
 			refuse(longestIdle);
 			return true;
 		}
 
-		// Its connection closes behind the answer; until then there is one more than the limit.
-		return endUnfinished(reason);
+		// Its connection closes after the response; until then the limit is exceeded by one.
+		return refuseIncomplete(reason);
 	};
 
 	return {
 		open(socket) {
-			if (!makeRoom()) {
+			if (!ensureCapacity()) {
 				refuse(socket);
 				return;
 			}
@@ -86,7 +87,7 @@
 			count++;
 			idle.add(socket);
 			socket.once('close', () => {
-				forget(socket);
+				untrack(socket);
 			});
 		},
 		begin(socket) {
@@ -98,9 +99,9 @@
 			return true;
 		},
 		end(socket) {
-			const left = (running.get(socket) ?? 0) - 1;
-			if (left > 0) {
-				running.set(socket, left);
+			const remaining = (running.get(socket) ?? 0) - 1;
+			if (remaining > 0) {
+				running.set(socket, remaining);
 			} else if (running.delete(socket)) {
 				idle.add(socket);
 			}
--- a/packages/transport/src/http/connection-pool.ts
+++ b/packages/transport/src/http/connection-pool.ts
@@ -3,49 +3,49 @@
 import type {Address} from './address.js';
 
 export type PoolOptions = {
-	/** A connection of this age is closed instead of used again. @default 60000 */
+	/** A connection older than this is closed instead of reused. @default 60000 */
 	readonly maxAgeMs?: number;
-	/** Shorter than the server keeps idle connections, so that the client is the one that closes them. @default 30000 */
+	/** Shorter than the server's keep-alive timeout, so that the client closes idle connections first. @default 30000 */
 	readonly idleMs?: number;
 	/** Idle connections kept for each address. @default 256 */
 	readonly maxIdle?: number;
 };
 
 /**
- * Keep-alive connections with a greatest age. Something between two hosts can
- * lose track of a connection for good; the age bounds how long the pool hands
- * out one that was forgotten while it lay idle.
+ * Creates a pool of keep-alive connections with a maximum age. A middlebox
+ * between two hosts can drop its state of an idle connection for good; the
+ * maximum age bounds how long the pool hands out such a connection.
  *
- * A byte on an idle connection belongs to no request. It ends the connection:
- * behind the next request it would pass for that request's answer.
+ * Data on an idle connection belongs to no request and closes the connection:
+ * otherwise it would be taken for the response to the next request.
  */
 export const createPool = ({maxAgeMs = 60_000, idleMs = 30_000, maxIdle = 256}: PoolOptions = {}): http.Agent => {
 	const pool = new http.Agent({keepAlive: true, maxFreeSockets: maxIdle, timeout: idleMs});
 	const firstFreeAtMs = new WeakMap<Socket, number>();
-	// Before Node's own listener, which drops a connection that is no longer writable.
+	// Runs before Node's own listener, which discards a connection that is no longer writable.
 	pool.prependListener('free', (socket: Socket) => {
 		const nowMs = performance.now();
-		const bornAtMs = firstFreeAtMs.get(socket) ?? nowMs;
-		firstFreeAtMs.set(socket, bornAtMs);
-		if (nowMs - bornAtMs > maxAgeMs) {
+		const freedAtMs = firstFreeAtMs.get(socket) ?? nowMs;
+		firstFreeAtMs.set(socket, freedAtMs);
+		if (nowMs - freedAtMs > maxAgeMs) {
 			socket.destroy();
 		}
 	});
-	// Not among the options of Node's agent: called when a connection is handed out again.
+	// Node's agent has no option for this; it calls `reuseSocket` when it reuses a connection.
 	const reuse = pool.reuseSocket.bind(pool);
 	pool.reuseSocket = (socket, request) => {
-		socket.off('data', endConnection);
+		socket.off('data', destroySocket);
 		reuse(socket, request);
 	};
 
 	pool.on('free', (socket: Socket) => {
 		idleSinceMs.set(socket, performance.now());
-		socket.on('data', endConnection);
+		socket.on('data', destroySocket);
 	});
 	return pool;
 };
 
-function endConnection(this: Socket): void {
+function destroySocket(this: Socket): void {
 	this.destroy();
 }
 
@@ -53,8 +53,8 @@
 
 /**
  * Closes connections to an address that have been idle for longer than
- * `maxIdleMs`. The other side may be about to close them: a request that must
- * not be repeated would be lost with its fate unknown.
+ * `maxIdleMs`. The server may be about to close them, and a request that must
+ * not be repeated would be lost without knowing whether it ran.
  */
 export const closeStaleConnections = (pool: http.Agent, {host, port}: Address, maxIdleMs: number): void => {
 	const nowMs = performance.now();
@@ -65,7 +65,7 @@
 	}
 };
 
-/** Closes the idle connections to an address, when one of them was found silent: what lay beside it may be as silent. */
+/** Closes the idle connections to an address after one of them stopped responding: the others may have been dropped as well. */
 export const closeIdleConnections = (pool: http.Agent, {host, port}: Address): void => {
 	for (const socket of pool.freeSockets[pool.getName({host, port})] ?? []) {
 		socket.destroy();
--- a/packages/transport/src/http/http-client.ts
+++ b/packages/transport/src/http/http-client.ts
@@ -1,14 +1,14 @@
 import {Buffer} from 'node:buffer';
 import http from 'node:http';
 import {parseAddress} from './address.js';
-import {meterOf} from './body-budget.js';
+import {bodyMeterOf} from './body-budget.js';
 import {closeIdleConnections, createPool} from './connection-pool.js';
 
-/** How a request failed on its way, as far as it is known whether the other side saw it. */
+/** A request that failed in transport, with what is known of whether the server received it. */
 export class TransportError extends Error {
 	override readonly name = 'TransportError';
 
-	constructor(message: string, /** The connection never came about, so nothing arrived. */ readonly isUnsent: boolean) {
+	constructor(message: string, /** The connection was never established, so nothing was sent. */ readonly isUnsent: boolean) {
 		super(message);
 	}
 }
@@ -19,7 +19,7 @@
 	readonly path: string;
 	readonly headers?: http.OutgoingHttpHeaders;
 	readonly body?: string | Uint8Array;
-	/** Without a byte from the other side for this long the request fails. */
+	/** The request fails if no data is received for this long. */
 	readonly idleTimeoutMs: number;
 	readonly signal?: AbortSignal;
 	/** @default the shared keep-alive pool */
@@ -28,7 +28,7 @@
 
 const sharedAgent = createPool();
 
-/** Sends one request; resolves with the response as soon as its head is there. */
+/** Sends one request; resolves with the response as soon as its headers have arrived. */
 export const sendHttp = async (options: HttpRequestOptions): Promise<http.IncomingMessage> => new Promise((resolve, reject) => {
 	const {address, method = 'GET', path, headers = {}, body, idleTimeoutMs, signal, agent = sharedAgent} = options;
 	const {host, port} = parseAddress(address);
@@ -47,24 +47,24 @@
 		}
 	});
 	request.on('timeout', () => {
-		// Without this, each retry would be lost on the next connection that went silent at the same time.
+		// Otherwise each retry would be lost on the next connection that stopped responding at the same time.
 		if (agent !== false) {
 			closeIdleConnections(agent, {host, port});
 		}
 
-		request.destroy(new TransportError(`no byte from ${address} for ${idleTimeoutMs} ms`, !isConnected));
+		request.destroy(new TransportError(`received no data from ${address} for ${idleTimeoutMs} ms`, !isConnected));
 	});
 	request.on('error', error => {
-		// Before the connection stands no byte of the request can have left; after it, nobody here can tell.
+		// Nothing can have been sent before the connection is established; afterwards it is unknown whether the server received the request.
 		reject(error instanceof TransportError ? error : new TransportError(error.message, !isConnected));
 	});
 	request.end(data);
 });
 
-/** Reads a body whole; a body that is cut or exceeds `limitBytes` is an error. */
+/** Reads a complete body; a truncated body or one larger than `limitBytes` is an error. */
 export const readBody = async (message: http.IncomingMessage, limitBytes = Number.POSITIVE_INFINITY): Promise<Buffer> => {
 	if (Number(message.headers['content-length'] ?? 0) > limitBytes) {
-		// An answer that is left unread would keep its connection from the pool.
+		// An unread response would keep its connection from returning to the pool.
 		if (typeof message.statusCode === 'number') {
 			message.destroy();
 		}
@@ -72,7 +72,7 @@
 		throw new BodyTooLargeError(limitBytes);
 	}
 
-	const meter = meterOf(message);
+	const meter = bodyMeterOf(message);
 	const parts: Buffer[] = [];
 	let sizeBytes = 0;
 	for await (const part of message as AsyncIterable<Buffer>) {
--- a/packages/transport/src/http/http-server.ts
+++ b/packages/transport/src/http/http-server.ts
@@ -11,16 +11,16 @@
 export type HttpHandler = (request: http.IncomingMessage, response: http.ServerResponse) => Promise<void>;
 
 export type HttpServer = {
-	/** `ip:port` as bound. */
+	/** The bound `ip:port`. */
 	readonly address: string;
-	/** Stops listening and ends idle connections; open requests go on until done. */
+	/** Stops listening and closes idle connections; resolves when the open requests are finished. */
 	close(): Promise<void>;
-	/** Ends all connections at once. */
+	/** Closes all connections immediately. */
 	destroy(): void;
 };
 
 export type CreateHttpServerOptions = {
-	/** `ip:port`; port 0 lets the system choose. */
+	/** `ip:port`; with port 0 the operating system chooses the port. */
 	readonly listen: string;
 	readonly handler: HttpHandler;
 	readonly onError?: (error: Error) => void;
@@ -28,11 +28,11 @@
 	readonly limits?: ServerLimits;
 };
 
-/** Longer than clients keep idle connections, so that none is closed under a request that is being sent. */
+/** Longer than clients keep idle connections, so that the server closes none while a request is being sent on it. */
 const keepAliveTimeoutMs = 65_000;
-const closeIdleMs = 20;
+const closeIdleIntervalMs = 20;
 
-/** How often slow senders are looked for. */
+/** Interval of the checks for slow senders. */
 const connectionsCheckingIntervalMs = 500;
 
 export const createHttpServer = async (options: CreateHttpServerOptions): Promise<HttpServer> => {
@@ -41,7 +41,7 @@
 		maxConnections = 8192, maxBufferedBytes = 134_217_728, headersTimeoutMs = 10_000, requestTimeoutMs = 60_000, unreadTimeoutMs = 60_000,
 	} = limits;
 	const bodies = createBodyBudget(maxBufferedBytes);
-	const connections = createConnectionLimit({maxConnections, endUnfinished: reason => bodies.refuseOldest(reason)});
+	const connections = createConnectionLimit({maxConnections, refuseIncomplete: reason => bodies.refuseOldest(reason)});
 	const exchanges = new WeakMap<Duplex, Exchange>();
 	let isClosing = false;
 	const server = http.createServer({
@@ -63,22 +63,22 @@
 		}
 
 		handler(request, response).catch((error: unknown) => {
-			// Its sender has its answer, whatever the handler made of the end of the body.
+			// The sender already has its response; the handler's error only follows from the interrupted body.
 			if (meter.isRefused()) {
 				return;
 			}
 
 			const isTooLarge = error instanceof BodyTooLargeError;
-			const isSenderGone = request.destroyed && !request.complete;
-			if (!isTooLarge && !isSenderGone) {
+			const isSenderDisconnected = request.destroyed && !request.complete;
+			if (!isTooLarge && !isSenderDisconnected) {
 				onError?.(error as Error);
 			}
 
 			if (response.headersSent) {
-				// The other side must see a cut, not an answer that looks whole.
+				// The client must see a broken connection, not a response that looks complete.
 				response.destroy();
 			} else if (isTooLarge) {
-				// What is left of the body is not read, so the connection cannot carry another request.
+				// The rest of the body is not read, so the connection cannot carry another request.
 				sendJson(response, 413, {error: {type: 'invalid_request', message: error.message}}, {connection: 'close'});
 			} else {
 				sendJson(response, 500, {error: {type: 'internal', message: (error as Error).message}});
@@ -91,7 +91,7 @@
 	server.prependListener('connection', (socket: Socket) => {
 		connections.open(socket);
 	});
-	// Callers that never read would hold their answers in memory for ever. An answer that has no next byte yet may take longer.
+	// A caller that never reads would keep its response in memory forever. A response with no data to send yet may take longer.
 	server.timeout = unreadTimeoutMs;
 	server.on('timeout', (socket: Socket) => {
 		if (socket.writableLength > 0 || !exchanges.has(socket)) {
@@ -103,10 +103,10 @@
 		address,
 		async close() {
 			isClosing = true;
-			// A connection that carried a stream falls idle after the stream's end; unless it is closed then, it would hold up the stop until its keep-alive runs out.
+			// A connection becomes idle when its streamed response ends; if it were not closed then, it would delay the shutdown until its keep-alive timeout.
 			const timer = setInterval(() => {
 				server.closeIdleConnections();
-			}, closeIdleMs);
+			}, closeIdleIntervalMs);
 			await new Promise<void>(resolve => {
 				server.close(() => {
 					resolve();
--- a/packages/transport/src/http/is-refusing-connections.ts
+++ b/packages/transport/src/http/is-refusing-connections.ts
@@ -1,23 +1,23 @@
 import net from 'node:net';
 import {parseAddress} from './address.js';
 
-const answerMs = 250;
+const responseTimeoutMs = 250;
 
-/** Whether the host of an address answers that nothing listens there: `false` if it says nothing. */
+/** Whether the host of an address refuses connections because nothing listens there; `false` if it does not respond. */
 export const isRefusingConnections = async (address: string): Promise<boolean> => new Promise(resolve => {
 	const socket = net.connect(parseAddress(address));
-	const settle = (isRefusing: boolean): void => {
+	const finish = (isRefusing: boolean): void => {
 		socket.destroy();
 		resolve(isRefusing);
 	};
 
-	socket.setTimeout(answerMs, () => {
-		settle(false);
+	socket.setTimeout(responseTimeoutMs, () => {
+		finish(false);
 	});
 	socket.once('connect', () => {
-		settle(false);
+		finish(false);
 	});
 	socket.once('error', (error: NodeJS.ErrnoException) => {
-		settle(error.code === 'ECONNREFUSED');
+		finish(error.code === 'ECONNREFUSED');
 	});
 });
--- a/packages/transport/src/http/listen.ts
+++ b/packages/transport/src/http/listen.ts
@@ -2,7 +2,7 @@
 import type {AddressInfo} from 'node:net';
 import {parseAddress} from './address.js';
 
-/** Binds a server to `ip:port`; resolves with the address as bound, rejects if it is taken. */
+/** Binds a server to `ip:port`; resolves with the bound address, rejects if it is in use. */
 export const listenOn = async (server: Server, address: string): Promise<string> => {
 	const {host, port} = parseAddress(address);
 	await new Promise<void>((resolve, reject) => {
--- a/packages/transport/src/http/overload.ts
+++ b/packages/transport/src/http/overload.ts
@@ -3,26 +3,26 @@
 import {errorResponseOf, verdictHeader} from '@bitternpaddle/protocol';
 import {notRun} from '@bitternpaddle/state';
 
-/** What a server holds for its callers at most. */
+/** Limits on the resources that a server spends on its callers. */
 export type ServerLimits = {
-	/** Open connections. @default 8192 */
+	/** Maximum number of open connections. @default 8192 */
 	readonly maxConnections?: number;
-	/** Bytes of request bodies, from their arrival to the end of their answer. @default 134217728 */
+	/** Maximum total bytes of request bodies; a body counts from its arrival to the end of its response. @default 134217728 */
 	readonly maxBufferedBytes?: number;
-	/** How long a sender may take over a request's head. @default 10000 */
+	/** How long a sender may take to send the headers of a request. @default 10000 */
 	readonly headersTimeoutMs?: number;
-	/** How long a sender may take over a whole request. @default 60000 */
+	/** How long a sender may take to send a complete request. @default 60000 */
 	readonly requestTimeoutMs?: number;
-	/** How long a caller may leave its answer unread. @default 60000 */
+	/** How long a caller may leave its response unread. @default 60000 */
 	readonly unreadTimeoutMs?: number;
 };
 
-/** Thrown to whoever reads a body that was given up; its sender has been answered. */
+/** Thrown to the reader of a request body after the request was refused; the sender has already got its response. */
 export class OverloadError extends Error {
 	override readonly name = 'OverloadError';
 }
 
-/** Answers a request whose body was not read whole, so that it cannot have run. */
+/** Refuses a request whose body has not been read completely, so that it cannot have run. */
 export const refuseRequest = (response: http.ServerResponse, reason: string): void => {
 	const {status, headers, body} = errorResponseOf(notRun(reason), null);
 	const text = JSON.stringify(body);
@@ -33,9 +33,9 @@
 };
 
 /**
- * Answers on a connection that carries no request. It says nothing of verdicts
- * in a header: an entry that comes back to read on in an answer would take it
- * for the verdict on that answer's request, which runs.
+ * Refuses a connection that carries no request. The response has no verdict
+ * header: an entry that reconnects to resume reading an earlier response would
+ * take it for the verdict on that response's request, which is still running.
  */
 export const refuseSocket = (socket: Duplex, reason: string): void => {
 	const {status, headers, body} = errorResponseOf(notRun(reason), null);
--- a/packages/transport/src/http/refuse-connection.ts
+++ b/packages/transport/src/http/refuse-connection.ts
@@ -13,16 +13,16 @@
 		: {status: 400, message: 'this is not an HTTP request'};
 };
 
-/** A request that is being answered on a connection. */
+/** A request on a connection and the response to it. */
 export type Exchange = {readonly request: http.IncomingMessage; readonly response: http.ServerResponse};
 
-/** Answers what is no whole HTTP request, and closes its connection. */
+/** Responds to data that is not a complete HTTP request, and closes the connection. */
 export const refuseConnection = (socket: Duplex, error: NodeJS.ErrnoException, exchange: Exchange | undefined): void => {
 	const {status, message} = refusalOf(error);
 	const body = JSON.stringify({error: {type: 'invalid_request', message}});
 	const headers = {'content-type': 'application/json', 'content-length': body.length, connection: 'close'};
 	if (exchange !== undefined) {
-		// The rubbish lies behind a whole request, or its answer has begun: an error written now would pass for that request's answer. The sender sees a cut.
+		// The invalid data follows a complete request, or the response has started: an error written now would be taken for that request's response. The connection is closed without one.
 		if (exchange.request.complete || exchange.response.headersSent) {
 			socket.destroy();
 			return;
--- a/packages/transport/src/http/when-drained.ts
+++ b/packages/transport/src/http/when-drained.ts
@@ -1,9 +1,9 @@
 import type {Writable} from 'node:stream';
 
 /**
- * Waits until what was written has been taken, or nobody takes it any more. It
- * leaves no listener behind: of two `once` in a race, the one that loses stays
- * for as long as the stream, and a slow reader collects one at every wait.
+ * Waits until the stream's buffer has drained or the stream is closed. Removes
+ * both listeners: with `once` on each event in a race, the losing listener would
+ * stay for the life of the stream, and a slow reader would accumulate one per wait.
  */
 export const whenDrained = async (stream: Writable): Promise<void> => new Promise(resolve => {
 	const finish = (): void => {
--- a/packages/transport/src/logging/create-logger.ts
+++ b/packages/transport/src/logging/create-logger.ts
@@ -9,7 +9,7 @@
 export type CreateLoggerOptions = {
 	/** @default 'info' */
 	readonly level?: 'error' | 'warn' | 'info' | 'debug' | 'silent';
-	/** Fields on every line, such as the host and the role. */
+	/** Fields added to every log line, such as the host and the role. */
 	readonly labels?: Record<string, string>;
 };
 
--- a/packages/transport/src/metrics/create-metrics.ts
+++ b/packages/transport/src/metrics/create-metrics.ts
@@ -19,7 +19,7 @@
 };
 
 export type CreateMetricsOptions = {
-	/** `ip:port` of a StatsD listener; without it nothing is sent. */
+	/** `ip:port` of a StatsD server; without it no metrics are sent. */
 	readonly address?: string;
 	readonly labels?: Record<string, string>;
 };
@@ -29,12 +29,12 @@
 		return silentMetrics;
 	}
 
-	// Loaded only where metrics are sent: an idle process holds no library that it does not use.
+	// Loaded only if metrics are sent, so that a process that sends none does not keep the library in memory.
 	const {StatsD} = require('hot-shots') as typeof HotShots;
 	const [host, port] = address.split(':');
 	const client = new StatsD({
 		host, port: Number(port), prefix: 'bitternpaddle.', globalTags: labels,
-		// Metrics are best effort: a listener that is away must not stop the process.
+		// Metrics are best effort: an unreachable StatsD server must not stop the process.
 		errorHandler: ignore,
 	});
 	return {
--- a/packages/transport/src/rpc/packing.ts
+++ b/packages/transport/src/rpc/packing.ts
@@ -3,47 +3,48 @@
 import {constants, gunzipSync, gzipSync} from 'node:zlib';
 import {BodyTooLargeError} from '../http/http-client.js';
 
-/** Shorter texts gain less than a packet's head. */
-const leastPackedBytes = 512;
-/** Whole configurations shrink to a tenth; what claims to shrink further would fill the memory of its receiver. */
-const mostShrinking = 200;
+/** For shorter texts, compression saves less than the size of a packet header. */
+const minCompressedBytes = 512;
+/** Maximum expansion on decompression. Complete configurations compress to a tenth; a body with a far higher ratio would exhaust the receiver's memory. */
+const maxExpansionRatio = 200;
 /**
- * The usual window and tables take 260 KB, cleared for each text: a core host that
- * two hundred others follow held 50 MB of them. These take 20 KB, and hold the texts that are sent all the time whole.
+ * The default window and tables of zlib take 260 KB, allocated and cleared for each text: a core host with
+ * two hundred followers held 50 MB of them. These settings take 20 KB, and the window still covers the
+ * complete text of the messages that are sent continually.
  */
-const packing = {level: constants.Z_BEST_SPEED, windowBits: 12, memLevel: 5};
-const packedEncoding = 'gzip';
+const compressionOptions = {level: constants.Z_BEST_SPEED, windowBits: 12, memLevel: 5};
+const compressedEncoding = 'gzip';
 
-export const packedHeaders: http.OutgoingHttpHeaders = {'accept-encoding': packedEncoding};
+export const acceptCompressedHeaders: http.OutgoingHttpHeaders = {'accept-encoding': compressedEncoding};
 
-/** A text on its way between hosts, and the headers that tell how it is packed. */
-export type PackedText = {readonly body: Buffer; readonly headers: http.OutgoingHttpHeaders};
+/** The body of a text as sent between hosts, and the headers that name its encoding. */
+export type EncodedText = {readonly body: Buffer; readonly headers: http.OutgoingHttpHeaders};
 
 /**
- * Packs a long text. Configurations of hundreds of routes, which the log carries to
- * core hosts of other regions, are most of what these send: 230 short ones of
- * 20,481 bytes take 1,409 packed.
+ * Compresses a long text. Configurations of hundreds of routes, which the log
+ * replicates to core hosts of other regions, are most of their traffic: 230 short
+ * routes of 20,481 bytes take 1,409 bytes compressed.
  */
-export const packText = (text: string): PackedText => {
+export const compressText = (text: string): EncodedText => {
 	const body = Buffer.from(text);
-	return body.length < leastPackedBytes ? {body, headers: {}} : {body: gzipSync(body, packing), headers: {'content-encoding': packedEncoding}};
+	return body.length < minCompressedBytes ? {body, headers: {}} : {body: gzipSync(body, compressionOptions), headers: {'content-encoding': compressedEncoding}};
 };
 
-/** Whether the other side reads packed answers. */
-export const readsPacked = ({headers}: http.IncomingMessage): boolean => headers['accept-encoding'] === packedEncoding;
+/** Whether the client accepts compressed responses. */
+export const acceptsCompressed = ({headers}: http.IncomingMessage): boolean => headers['accept-encoding'] === compressedEncoding;
 
-/** The text of a body that was read whole. */
-export const unpackText = (body: Buffer, {headers}: http.IncomingMessage, limitBytes = Number.POSITIVE_INFINITY): string => {
-	if (headers['content-encoding'] !== packedEncoding) {
+/** Decodes the text of a complete body. */
+export const decompressText = (body: Buffer, {headers}: http.IncomingMessage, limitBytes = Number.POSITIVE_INFINITY): string => {
+	if (headers['content-encoding'] !== compressedEncoding) {
 		return body.toString();
 	}
 
-	const mostBytes = Math.min(limitBytes, body.length * mostShrinking);
+	const maxBytes = Math.min(limitBytes, body.length * maxExpansionRatio);
 	try {
-		return gunzipSync(body, {maxOutputLength: mostBytes}).toString();
+		return gunzipSync(body, {maxOutputLength: maxBytes}).toString();
 	} catch (error) {
 		if ((error as NodeJS.ErrnoException).code === 'ERR_BUFFER_TOO_LARGE') {
-			throw new BodyTooLargeError(mostBytes);
+			throw new BodyTooLargeError(maxBytes);
 		}
 
 		throw error;
--- a/packages/transport/src/rpc/rpc-client.ts
+++ b/packages/transport/src/rpc/rpc-client.ts
@@ -1,7 +1,7 @@
 import type http from 'node:http';
 import {JSONRPCClient, type JSONRPCResponse} from 'json-rpc-2.0';
 import {readBody, sendHttp, TransportError} from '../http/http-client.js';
-import {packText, packedHeaders, unpackText} from './packing.js';
+import {compressText, acceptCompressedHeaders, decompressText} from './packing.js';
 import {rpcPath} from './rpc-server.js';
 
 export type RpcCallOptions = {
@@ -9,17 +9,17 @@
 	readonly method: string;
 	readonly params: object;
 	readonly timeoutMs: number;
-	/** `false` opens a new connection, for when the old ones may have gone silent. */
+	/** `false` opens a new connection, for when the pooled ones may no longer respond. */
 	readonly agent?: http.Agent | false;
-	/** Whether long texts are packed, both ways: for hosts whose calls cross regions. @default false */
+	/** Whether long texts are compressed in both directions, for hosts whose calls cross regions. @default false */
 	readonly isPacked?: boolean;
-	/** A longer answer is an error. @default none */
+	/** A larger response is an error. @default none */
 	readonly answerLimitBytes?: number;
 	/** @default none */
 	readonly signal?: AbortSignal;
 };
 
-/** Calls a method; rejects with `TransportError` or with the other side's error. */
+/** Calls a method; rejects with `TransportError` or with the server's error. */
 export const callRpc = async <Result>(options: RpcCallOptions): Promise<Result> => {
 	let failure: unknown;
 	const client: JSONRPCClient = new JSONRPCClient(async (payload: unknown) => {
@@ -33,12 +33,12 @@
 		const result: unknown = await client.request(options.method, options.params);
 		return result as Result;
 	} catch (error) {
-		// The library puts an error of its own in the place of the transport's.
+		// The library replaces the transport's error with its own.
 		throw failure ?? error;
 	}
 };
 
-/** Sends a message that has no answer. */
+/** Sends a notification, which has no response. */
 export const notifyRpc = async (options: RpcCallOptions): Promise<void> => {
 	await post(options, {jsonrpc: '2.0', method: options.method, params: options.params});
 };
@@ -47,15 +47,15 @@
 	address, timeoutMs, agent, signal, answerLimitBytes, isPacked = false,
 }: RpcCallOptions, payload: unknown): Promise<string> => {
 	const text = JSON.stringify(payload);
-	const {body, headers} = isPacked ? packText(text) : {body: text, headers: {}};
+	const {body, headers} = isPacked ? compressText(text) : {body: text, headers: {}};
 	const response = await sendHttp({
-		address, method: 'POST', path: rpcPath, headers: {'content-type': 'application/json', ...(isPacked ? packedHeaders : {}), ...headers},
+		address, method: 'POST', path: rpcPath, headers: {'content-type': 'application/json', ...(isPacked ? acceptCompressedHeaders : {}), ...headers},
 		body, idleTimeoutMs: timeoutMs, agent, signal,
 	});
-	const answer = unpackText(await readBody(response, answerLimitBytes), response, answerLimitBytes);
-	// A server that is full or stopping answers in another shape, which has no call's id in it: the library would wait for ever.
+	const answer = decompressText(await readBody(response, answerLimitBytes), response, answerLimitBytes);
+	// A server that is overloaded or shutting down responds without a JSON-RPC call id: the library would wait forever.
 	if (response.statusCode !== 200 && response.statusCode !== 204) {
-		throw new TransportError(`${address} answered ${response.statusCode}: ${answer.slice(0, 200)}`, false);
+		throw new TransportError(`${address} responded with status ${response.statusCode}: ${answer.slice(0, 200)}`, false);
 	}
 
 	return answer;
--- a/packages/transport/src/rpc/rpc-server.ts
+++ b/packages/transport/src/rpc/rpc-server.ts
@@ -7,9 +7,9 @@
 import {ignore} from '../utils.js';
 import {readBody} from '../http/http-client.js';
 import {sendJson} from '../http/http-server.js';
-import {packText, readsPacked, unpackText} from './packing.js';
+import {compressText, acceptsCompressed, decompressText} from './packing.js';
 
-/** An error with a code, as the other side sees it. */
+/** An error with the code that the client receives. */
 export class RpcError extends JSONRPCErrorException {
 	constructor(code: number, message: string) {
 		super(message, code);
@@ -17,29 +17,29 @@
 }
 
 export type RpcServer = {
-	/** Adds a method whose parameters are checked before `handle` sees them. */
+	/** Adds a method whose parameters are validated before `handle` is called. */
 	method<Schema extends z.ZodType>(name: string, schema: Schema, handle: (parameters: z.output<Schema>) => unknown): void;
-	/** Answers one HTTP request that carries JSON-RPC. */
+	/** Handles one HTTP request that carries JSON-RPC. */
 	serve(request: http.IncomingMessage, response: http.ServerResponse): Promise<void>;
 };
 
 export const rpcPath = '/rpc';
 
-/** The library throws on a batch with something else than calls in it. */
-const notACall: JSONRPCResponse = {jsonrpc: '2.0', id: null, error: {code: JSONRPCErrorCode.InvalidRequest, message: 'this is not a JSON-RPC call'}};
+/** The response to a batch that contains anything other than calls, on which the library throws. */
+const notACallResponse: JSONRPCResponse = {jsonrpc: '2.0', id: null, error: {code: JSONRPCErrorCode.InvalidRequest, message: 'the body is not a JSON-RPC call'}};
 
 export type RpcServerOptions = {
-	/** Longer calls are refused. @default 64 MiB, above the largest snapshot that a control host sends */
+	/** Larger calls are refused. @default 64 MiB, above the largest snapshot that a control host sends */
 	readonly bodyLimitBytes?: number;
 };
 
 const sendAnswer = (request: http.IncomingMessage, response: http.ServerResponse, answer: JSONRPCResponse | JSONRPCResponse[]): void => {
-	if (!readsPacked(request)) {
+	if (!acceptsCompressed(request)) {
 		sendJson(response, 200, answer);
 		return;
 	}
 
-	const {body, headers} = packText(JSON.stringify(answer));
+	const {body, headers} = compressText(JSON.stringify(answer));
 	response.writeHead(200, {'content-type': 'application/json', 'content-length': body.length, ...headers}).end(body);
 };
 
@@ -49,7 +49,7 @@
 		try {
 			return await server.receiveJSON(text);
 		} catch {
-			return notACall;
+			return notACallResponse;
 		}
 	};
 
@@ -65,7 +65,7 @@
 			});
 		},
 		async serve(request, response) {
-			const text = unpackText(await readBody(request, bodyLimitBytes), request, bodyLimitBytes);
+			const text = decompressText(await readBody(request, bodyLimitBytes), request, bodyLimitBytes);
 			const answer = await receive(text);
 			if (answer === null) {
 				response.writeHead(204).end();
--- a/packages/transport/src/utils.ts
+++ b/packages/transport/src/utils.ts
@@ -1,2 +1,2 @@
-/** For callbacks that libraries ask for and that have nothing to do here. */
+/** A no-op for callbacks that libraries require. */
 export const ignore = (): void => undefined;
