--- a/packages/cli/src/commands/ordering-command.ts
+++ b/packages/cli/src/commands/change-command.ts
@@ -5,15 +5,15 @@
 
 const defaultTimeoutSeconds = 600;
 
-/** What every command that orders changes has. */
-export abstract class OrderingCommand extends ConnectedCommand {
-	wait = Option.Boolean('--wait', false, {description: 'Wait until each change is in force everywhere, and for a load until its replicas are ready.'});
-	timeoutSeconds = Option.String('--timeout-seconds', String(defaultTimeoutSeconds), {description: `How long --wait waits. Expected: a whole number. Default: ${defaultTimeoutSeconds}.`});
+/** Base class of the commands that submit changes. */
+export abstract class ChangeCommand extends ConnectedCommand {
+	wait = Option.Boolean('--wait', false, {description: 'Wait until each change is in force on all hosts and, for a load, until its replicas are ready.'});
+	timeoutSeconds = Option.String('--timeout-seconds', String(defaultTimeoutSeconds), {description: `How long --wait waits at most. Expected: a whole number. Default: ${defaultTimeoutSeconds}.`});
 
-	/** Sends one line, waits for it if that was asked for, and gives the exit code. */
-	protected async order(connection: Connection, line: string, extra: {commandId?: string; ifRevision?: number} = {}): Promise<number> {
+	/** Sends one line, waits for its change with `--wait`, and returns the exit code. */
+	protected async order(connection: Connection, line: string, options: {commandId?: string; ifRevision?: number} = {}): Promise<number> {
 		const {code, revision} = await sendCommand(this.context, {
-			...connection, line, output: this.output === 'json' ? 'json' : 'table', ...extra,
+			...connection, line, output: this.output === 'json' ? 'json' : 'table', ...options,
 		});
 		if (code !== exitCodes.done || revision === null || !this.wait) {
 			return code;
--- a/packages/cli/src/commands/connected-command.ts
+++ b/packages/cli/src/commands/connected-command.ts
@@ -3,7 +3,7 @@
 
 export type Connection = {readonly address: string; readonly token: string};
 
-/** What every command that talks to an entry has. */
+/** Base class of the commands that connect to an entry. */
 export abstract class ConnectedCommand extends Command {
 	address = Option.String('--address', {description: 'An entry, ip:port. Default: 127.0.0.1:7100. (BITTERNPADDLE_ADDRESS)'});
 	token = Option.String('--token', {description: 'An administration token. (BITTERNPADDLE_TOKEN)'});
@@ -11,8 +11,8 @@
 
 	protected readonly outputs: readonly string[] = ['table', 'json'];
 
-	/** Checks the flags; says what is wrong with them and gives `null`. */
-	protected connect(): Connection | null {
+	/** Validates the flags; on a problem, prints what is wrong and returns `null`. */
+	protected resolveConnection(): Connection | null {
 		const address = this.address ?? process.env.BITTERNPADDLE_ADDRESS ?? '127.0.0.1:7100';
 		const token = this.token ?? process.env.BITTERNPADDLE_TOKEN;
 		const problems = this.problems();
@@ -36,15 +36,15 @@
 		return {address, token: token!};
 	}
 
-	/** What is wrong with the flags of the command itself. */
+	/** Problems with the flags of the command itself. */
 	protected problems(): string[] {
 		return [];
 	}
 
-	/** What `ask` gives, or `null` after saying that the entry cannot be reached. */
-	protected async reach<Answer>(address: string, ask: () => Promise<Answer>): Promise<Answer | null> {
+	/** Resolves with the result of `request`, or with `null` after printing that the entry cannot be reached. */
+	protected async tryRequest<Answer>(address: string, request: () => Promise<Answer>): Promise<Answer | null> {
 		try {
-			return await ask();
+			return await request();
 		} catch (error) {
 			this.context.stderr.write(`${address} cannot be reached: ${(error as Error).message}\n`);
 			return null;
--- a/packages/cli/src/commands/manifest-command.ts
+++ b/packages/cli/src/commands/manifest-command.ts
@@ -7,18 +7,18 @@
 import {Command, Option} from 'clipanion';
 import {exitCodes} from '../send-command.js';
 
-/** `bitternpaddle manifest create DIR`: the manifest of the files in a folder. */
+/** `bitternpaddle manifest create DIR`: creates the manifest of the files in a folder. */
 export class ManifestCreateCommand extends Command {
 	static override paths = [['manifest', 'create']];
 
 	static override usage = Command.Usage({
 		description: 'Write the manifest of a folder of weights and print its id.',
-		details: 'The bytes of a version are the files of the folder, by name, one after the other. Put them behind the origin in the same order.',
+		details: 'The weights of a version are the files of the folder, concatenated in the order of their names. Publish them at the origin in the same order.',
 	});
 
 	folder = Option.String({required: true});
-	out = Option.String('--out', {description: 'File for the manifest. Default: manifest.json beside the folder.'});
-	base = Option.String('--base', {description: 'For an adapter: the id of the manifest of the version that it belongs to.'});
+	out = Option.String('--out', {description: 'File to write the manifest to. Default: manifest.json next to the folder.'});
+	base = Option.String('--base', {description: 'For an adapter: the id of the manifest of its base version.'});
 	chunkSizeBytes = Option.String('--chunk-size-bytes', String(defaultChunkSizeBytes), {description: `Expected: a whole number. Default: ${defaultChunkSizeBytes}.`});
 
 	override async execute(): Promise<number> {
@@ -43,13 +43,13 @@
 		}
 
 		if (files.length === 0) {
-			this.context.stderr.write(`${this.folder} has no files: expected at least one\n`);
+			this.context.stderr.write(`${this.folder} contains no files: expected at least one\n`);
 			return exitCodes.usage;
 		}
 
 		const sizes = await Promise.all(files.map(async file => (await stat(file)).size));
 		const totalBytes = sizes.reduce((sum, size) => sum + size, 0);
-		const manifest = await createManifest(readAll(files), {
+		const manifest = await createManifest(readFiles(files), {
 			chunkSizeBytes, baseManifestId: base?.data,
 			onProgress: doneBytes => {
 				this.context.stderr.write(`\r${Math.floor(100 * doneBytes / totalBytes)}% of ${totalBytes} bytes`);
@@ -71,7 +71,7 @@
 		.toSorted();
 };
 
-async function * readAll(files: readonly string[]): AsyncIterable<Uint8Array> {
+async function * readFiles(files: readonly string[]): AsyncIterable<Uint8Array> {
 	for (const file of files) {
 		yield * createReadStream(file) as AsyncIterable<Uint8Array>;
 	}
--- a/packages/cli/src/commands/query-command.ts
+++ b/packages/cli/src/commands/query-command.ts
@@ -3,19 +3,19 @@
 import {exitCodes, sendCommand} from '../send-command.js';
 import {ConnectedCommand} from './connected-command.js';
 
-/** `bitternpaddle query LINE`: asks and changes nothing. */
+/** `bitternpaddle query LINE`: runs a read-only statement. */
 export class QueryCommand extends ConnectedCommand {
 	static override paths = [['query']];
 
 	static override usage = Command.Usage({
-		description: 'Ask what is where and what is in flight.',
+		description: 'Query the state of the system and the requests in flight.',
 		examples: [['Replicas in a zone', '$0 query "show replicas where zone = tacoma-hall"']],
 	});
 
 	line = Option.String({required: true});
 
 	override async execute(): Promise<number> {
-		const connection = this.connect();
+		const connection = this.resolveConnection();
 		if (connection === null) {
 			return exitCodes.usage;
 		}
@@ -30,5 +30,5 @@
 	}
 }
 
-/** A line that does not parse is left to the entry, whose error names the place. */
+/** Whether a line is a change. A line that does not parse is left to the entry, whose error names the position. */
 const isChange = (line: string): boolean => parseStatement(line).caseOf({Left: () => false, Right: ({type}) => type === 'change'});
--- a/packages/cli/src/commands/replay-command.ts
+++ b/packages/cli/src/commands/replay-command.ts
@@ -3,13 +3,13 @@
 import {Command, Option} from 'clipanion';
 import {exitCodes} from '../send-command.js';
 
-/** `bitternpaddle replay FILE`: repeats recorded decisions. */
+/** `bitternpaddle replay FILE`: replays recorded decisions. */
 export class ReplayCommand extends Command {
 	static override paths = [['replay']];
 
 	static override usage = Command.Usage({
-		description: 'Repeat the decisions in a recording and tell the first that differs.',
-		examples: [['A trace of `bitternpaddled run --record`', '$0 replay trace.jsonl']],
+		description: 'Replay the decisions in a recording and report the first that differs.',
+		examples: [['Replay a recording of `bitternpaddled run --record`', '$0 replay trace.jsonl']],
 	});
 
 	file = Option.String({required: true});
@@ -18,11 +18,11 @@
 		try {
 			const result = replayRecording(await readFile(this.file, 'utf8'));
 			if (result.type === 'same') {
-				this.context.stdout.write(`${result.steps} steps, the same decisions; term ${result.term}, committed up to ${result.commitIndex}\n`);
+				this.context.stdout.write(`${result.steps} steps replayed with the same decisions; term ${result.term}, committed up to ${result.commitIndex}\n`);
 				return exitCodes.done;
 			}
 
-			this.context.stdout.write(`line ${result.line} differs: ${JSON.stringify(result.event)} now gives ${JSON.stringify(result.effects)}\n`);
+			this.context.stdout.write(`line ${result.line} differs: ${JSON.stringify(result.event)} now results in ${JSON.stringify(result.effects)}\n`);
 			return exitCodes.refused;
 		} catch (error) {
 			this.context.stderr.write(`${this.file} cannot be replayed: ${(error as Error).message}\n`);
--- a/packages/cli/src/commands/report-burn-command.ts
+++ b/packages/cli/src/commands/report-burn-command.ts
@@ -8,16 +8,16 @@
 import {exitCodeOfStatus, exitCodes} from '../send-command.js';
 import {ConnectedCommand} from './connected-command.js';
 
-/** `bitternpaddle report burn`: how fast each service uses up its error budget. */
+/** `bitternpaddle report burn`: reports how fast each service consumes its error budget. */
 export class ReportBurnCommand extends ConnectedCommand {
 	static override paths = [['report', 'burn']];
 
 	static override usage = ConnectedCommand.Usage({
-		description: 'Report service-level burn per service and team over 5 minutes, 1 hour, 6 hours and 3 days.',
-		details: 'Merged over what all entries counted since they started. An entry that does not answer is named in the report.',
+		description: 'Report the error budget burn rate per service and team over 5 minutes, 1 hour, 6 hours and 3 days.',
+		details: 'Merges the counts of all entries since they started. An entry that does not respond is named in the report.',
 		examples: [
 			['As a table', '$0 report burn'],
-			['As one page with plots', '$0 report burn --output html --out burn.html'],
+			['As an HTML page with plots', '$0 report burn --output html --out burn.html'],
 		],
 	});
 
@@ -27,12 +27,12 @@
 	protected override readonly outputs = ['text', 'json', 'html'];
 
 	override async execute(): Promise<number> {
-		const connection = this.connect();
+		const connection = this.resolveConnection();
 		if (connection === null) {
 			return exitCodes.usage;
 		}
 
-		const answer = await this.reach(connection.address, async () => fetchJson({...connection, path: burnReportPath}));
+		const answer = await this.tryRequest(connection.address, async () => fetchJson({...connection, path: burnReportPath}));
 		if (answer === null) {
 			return exitCodes.unavailable;
 		}
--- a/packages/cli/src/commands/script-command.ts
+++ b/packages/cli/src/commands/script-command.ts
@@ -1,22 +1,22 @@
 import {readFile} from 'node:fs/promises';
 import {Option} from 'clipanion';
 import {exitCodes} from '../send-command.js';
-import {OrderingCommand} from './ordering-command.js';
+import {ChangeCommand} from './change-command.js';
 
-/** `bitternpaddle script FILE`: a file of lines, one after the other. */
-export class ScriptCommand extends OrderingCommand {
+/** `bitternpaddle script FILE`: runs the lines of a file in order. */
+export class ScriptCommand extends ChangeCommand {
 	static override paths = [['script']];
 
-	static override usage = OrderingCommand.Usage({
-		description: 'Run a file of lines; stops at the first error and tells its line.',
-		details: 'Empty lines and lines that begin with # are passed over. The exit code is that of the line that failed.',
-		examples: [['A migration, each step awaited', '$0 script migrate.txt --wait']],
+	static override usage = ChangeCommand.Usage({
+		description: 'Run the lines of a file; stops at the first error and prints its line number.',
+		details: 'Empty lines and lines that begin with # are skipped. The exit code is that of the line that failed.',
+		examples: [['A migration that waits for each step', '$0 script migrate.txt --wait']],
 	});
 
 	file = Option.String({required: true});
 
 	override async execute(): Promise<number> {
-		const connection = this.connect();
+		const connection = this.resolveConnection();
 		if (connection === null) {
 			return exitCodes.usage;
 		}
--- a/packages/cli/src/commands/shell-command.ts
+++ b/packages/cli/src/commands/shell-command.ts
@@ -4,24 +4,24 @@
 import {Option} from 'clipanion';
 import {exitCodes} from '../send-command.js';
 import type {Connection} from './connected-command.js';
-import {OrderingCommand} from './ordering-command.js';
+import {ChangeCommand} from './change-command.js';
 
 const historySize = 500;
 
-/** `bitternpaddle shell`: a prompt with completion and history. */
-export class ShellCommand extends OrderingCommand {
+/** `bitternpaddle shell`: an interactive prompt with completion and history. */
+export class ShellCommand extends ChangeCommand {
 	static override paths = [['shell']];
 
-	static override usage = OrderingCommand.Usage({
-		description: 'A prompt for lines of the language, with completion (Tab) and history (arrow keys).',
-		details: 'help lists the forms of statements; exit or Ctrl-D ends. Lines with a team\'s key are not written to the history file.',
-		examples: [['With a history that lasts', '$0 shell --history ~/.bitternpaddle-history']],
+	static override usage = ChangeCommand.Usage({
+		description: 'Start an interactive prompt for the operators\' language, with completion (Tab) and history (arrow keys).',
+		details: 'help lists the forms of statements; exit or Ctrl-D ends the shell. Lines that contain a team\'s key are not written to the history file.',
+		examples: [['With a persistent history', '$0 shell --history ~/.bitternpaddle-history']],
 	});
 
-	history = Option.String('--history', {description: 'File that keeps the lines typed. Default: none.'});
+	history = Option.String('--history', {description: 'File to keep the history in. Default: none.'});
 
 	override async execute(): Promise<number> {
-		const connection = this.connect();
+		const connection = this.resolveConnection();
 		if (connection === null) {
 			return exitCodes.usage;
 		}
@@ -48,7 +48,7 @@
 			if (line === 'help') {
 				this.context.stdout.write(`${statementForms.map(({form, description}) => `${form}\n    ${description}`).join('\n')}\n`);
 			} else if (line !== '') {
-				await this.keep(line);
+				await this.appendToHistory(line);
 				await this.order(connection, line);
 			}
 
@@ -58,7 +58,7 @@
 		prompt.close();
 	}
 
-	/** Newest first, as readline wants it; a file that is not there yet is an empty one. */
+	/** Reads the history, newest first as readline expects it; a missing file counts as empty. */
 	private async readHistory(): Promise<string[]> {
 		if (this.history === undefined) {
 			return [];
@@ -68,8 +68,8 @@
 		return text.split('\n').filter(line => line !== '').slice(-historySize).toReversed();
 	}
 
-	private async keep(line: string): Promise<void> {
-		// A team's key in a file in the home folder would outlive the shell; the catalog itself keeps only its digest.
+	private async appendToHistory(line: string): Promise<void> {
+		// Lines with a team's key are not kept: in a history file the key would outlive the shell, and the catalog itself stores only its digest.
 		if (this.history === undefined || /\bkey\b/v.test(line)) {
 			return;
 		}
--- a/packages/cli/src/format-rows.ts
+++ b/packages/cli/src/format-rows.ts
@@ -1,6 +1,6 @@
 import type {QueryRow} from '@bitternpaddle/protocol';
 
-/** Rows as a table for people; every column as wide as its longest value. */
+/** Formats rows as a plain-text table; each column is as wide as its longest value. */
 export const formatRows = (rows: readonly QueryRow[]): string => {
 	if (rows.length === 0) {
 		return '(none)\n';
--- a/packages/cli/src/progress.ts
+++ b/packages/cli/src/progress.ts
@@ -1,13 +1,13 @@
 import type {QueryRow} from '@bitternpaddle/protocol';
 
-/** How far a load has come. */
+/** Progress of a load. */
 export type LoadProgress = {
 	readonly ready: number;
 	readonly wanted: number;
 	readonly heldChunks: number;
 	readonly totalChunks: number;
 	readonly bytes: number;
-	/** `null` while nothing has moved. */
+	/** Estimated; `null` until the first chunk has arrived. */
 	readonly secondsLeft: number | null;
 };
 
@@ -19,7 +19,7 @@
 	readonly elapsedMs: number;
 };
 
-/** The estimate takes it that chunks go on arriving as fast as they have so far. */
+/** Computes the progress of a load. The estimate assumes that chunks keep arriving at the average rate so far. */
 export const loadProgress = ({fleetRow, transferRows, elapsedMs}: LoadView): LoadProgress => {
 	let heldChunks = 0;
 	let totalChunks = 0;
--- a/packages/cli/src/reference/reference-pages.ts
+++ b/packages/cli/src/reference/reference-pages.ts
@@ -3,7 +3,7 @@
 import type {Cli} from 'clipanion';
 import {createOperatorProgram} from '../program.js';
 
-const generatedNote = 'Made from the code by `npm run reference`; a test holds it to that.';
+const generatedNote = 'Generated from the code by `npm run reference`; a test checks that it is current.';
 
 const cell = (text: string): string => text.replaceAll('|', String.raw`\|`).replaceAll('\n', ' ').trim();
 
@@ -15,21 +15,21 @@
 
 const settingsPage = (): string => [
 	'# Settings',
-	`Settings of \`bitternpaddled run\`. A flag goes before its environment variable, which goes before the default. ${generatedNote}`,
+	`Settings of \`bitternpaddled run\`. A flag takes precedence over its environment variable, which takes precedence over the default. ${generatedNote}`,
 	table(['flag', 'environment variable', 'meaning', 'expected', 'default'], Object.values(settingDefinitions).map(({name, description, expected, defaultText}) => [
-		`\`--${name}\``, `\`${environmentName(name)}\``, description, expected, defaultText === null ? 'needed' : (defaultText === '' ? 'none' : `\`${defaultText}\``),
+		`\`--${name}\``, `\`${environmentName(name)}\``, description, expected, defaultText === null ? 'required' : (defaultText === '' ? 'none' : `\`${defaultText}\``),
 	])),
 ].join('\n\n') + '\n';
 
 const commandsPage = (): string => [
 	'# The operators\' language',
-	`For \`bitternpaddle query\`, \`run\`, \`shell\`, \`script\` and the [administration API](admin-api.md). Names have letters, digits, ".", "-" and "_", at most 64 characters. ${generatedNote}`,
+	`For \`bitternpaddle query\`, \`run\`, \`shell\`, \`script\` and the [administration API](admin-api.md). Names have at most 64 characters: letters, digits, ".", "-" and "_". ${generatedNote}`,
 	'## Statements',
 	table(['form', 'meaning', 'role of the token'], statementForms.map(({form, description, role}) => [`\`${form}\``, description, role])),
 	'For example:',
 	`\`\`\`\n${statementForms.map(({example}) => example).join('\n')}\n\`\`\``,
 	'## Subjects and their fields',
-	'Operators for conditions: `=`, `!=`, `<`, `<=`, `>`, `>=`; for true and false only `=` and `!=`.',
+	'Operators in conditions: `=`, `!=`, `<`, `<=`, `>`, `>=`; for true and false only `=` and `!=`.',
 	table(['subject', 'fields'], Object.entries(subjectFields).map(([subject, fields]) => [
 		subject === 'requests' ? '`requests in flight`' : `\`${subject}\``, Object.entries(fields).map(([field, type]) => `\`${field}\` (${type})`).join(', '),
 	])),
@@ -44,12 +44,12 @@
 const programsPage = (): string => [
 	'# The two programs',
 	`Every command and flag. ${generatedNote}`,
-	'Exit codes of `bitternpaddle`: 0 done, 1 refused, 2 wrong line or flags, 3 the entry or control cannot be reached, or a wait was over too soon.',
+	'Exit codes of `bitternpaddle`: 0 done, 1 refused, 2 invalid line or flags, 3 the entry or the control hosts cannot be reached, or a wait timed out.',
 	...programSection(createOperatorProgram()),
 	...programSection(createDaemonProgram()),
 ].join('\n\n') + '\n';
 
-/** Pages of docs/operations that follow from the code, by file name. */
+/** Pages of docs/operations that are generated from the code, by file name. */
 export const referencePages = (): Record<string, string> => ({
 	'settings.md': settingsPage(),
 	'commands.md': commandsPage(),
--- a/packages/cli/src/send-command.ts
+++ b/packages/cli/src/send-command.ts
@@ -9,7 +9,7 @@
 	readonly token: string;
 	readonly line: string;
 	readonly output: 'table' | 'json';
-	/** @default a new one */
+	/** @default a random UUID */
 	readonly commandId?: string;
 	readonly ifRevision?: number;
 };
@@ -21,38 +21,39 @@
 	unavailable: 3,
 } as const;
 
-/** `revision`: where an accepted change stands; `null` for anything else. */
+/** Exit code, and the revision of an accepted change; `null` for anything else. */
 export type SendOutcome = {readonly code: number; readonly revision: number | null};
 
 const unavailableStatus = 503;
-/** Several elections; whoever has waited so long wants to know. */
-const patienceMs = 5000;
-const pauseMs = 250;
+/** Long enough for several elections; after that the operator should see the error. */
+const retryTimeoutMs = 5000;
+const retryIntervalMs = 250;
 
 /**
- * Sends a line again while nobody leads. Without this an order that meets an
- * election fails, though the next second would take it. The command id makes
- * the resend safe, also if the first was accepted and only its answer is lost.
+ * Retries a line while there is no leader. Without this, a command sent during
+ * an election would fail although a second later it would be accepted. The
+ * command id makes the retry safe, even if the first attempt was accepted and
+ * only its response was lost.
  */
-const sendPatiently = async (options: SendOptions): Promise<CommandAnswer> => {
+const sendWithRetries = async (options: SendOptions): Promise<CommandAnswer> => {
 	const {commandId = randomUUID()} = options;
-	const giveUpAtMs = performance.now() + patienceMs;
+	const retryUntilMs = performance.now() + retryTimeoutMs;
 	for (;;) {
 		const answer = await sendLine({...options, commandId});
-		if (answer.status !== unavailableStatus || performance.now() >= giveUpAtMs) {
+		if (answer.status !== unavailableStatus || performance.now() >= retryUntilMs) {
 			return answer;
 		}
 
-		await delay(pauseMs);
+		await delay(retryIntervalMs);
 	}
 };
 
-/** Sends one line and prints the answer. */
+/** Sends one line and prints the response. */
 export const sendCommand = async (context: BaseContext, options: SendOptions): Promise<SendOutcome> => {
 	const {line, output} = options;
 	let answer: CommandAnswer;
 	try {
-		answer = await sendPatiently(options);
+		answer = await sendWithRetries(options);
 	} catch (error) {
 		context.stderr.write(`${options.address} cannot be reached: ${(error as Error).message}\n`);
 		return {code: exitCodes.unavailable, revision: null};
@@ -83,7 +84,7 @@
 	if (body.rows !== undefined) {
 		stdout.write(formatRows(body.rows));
 		if (body.missingEntries !== undefined) {
-			stderr.write(`not heard: ${body.missingEntries.join(', ')}\n`);
+			stderr.write(`no response from: ${body.missingEntries.join(', ')}\n`);
 		}
 	} else if (body.error?.column !== undefined) {
 		const {column, expected = [], message} = body.error;
