--- a/packages/test-support/src/engine/engine-adapters.ts
+++ b/packages/test-support/src/engine/engine-adapters.ts
@@ -8,13 +8,13 @@
 ]);
 export type AdapterEngineOrder = z.infer<typeof adapterOrderSchema>;
 
-/** An order that was carried out, with the base that the engine held then. */
-export type DoneAdapterOrder = AdapterEngineOrder & {readonly onVersionId: string};
+/** An executed adapter command, with the base version that the engine held at that time. */
+export type ExecutedAdapterOrder = AdapterEngineOrder & {readonly onVersionId: string};
 
-/** Adapters by the model name that callers give, with the digest of the bytes that were read. */
-export type HeldAdapters = Map<string, {readonly digest: string}>;
+/** Loaded adapters by the model name that callers use, with the digest of the bytes that were read. */
+export type LoadedAdapters = Map<string, {readonly digest: string}>;
 
-/** A model field `base/adapter` asks for an adapter, any other for the base alone. */
+/** A model field `base/adapter` names an adapter, any other the base alone. */
 export const isAdapterName = (model: string): boolean => model.includes('/');
 
 export const fingerprintOf = (digest: string, adapterDigest: string | null): string => adapterDigest === null ? digest : `${digest}+${adapterDigest}`;
--- a/packages/test-support/src/engine/fake-engine.ts
+++ b/packages/test-support/src/engine/fake-engine.ts
@@ -8,68 +8,68 @@
 import * as z from 'zod';
 import type {History} from '../history/events.js';
 import {
-	adapterOrderSchema, fingerprintOf, isAdapterName, type DoneAdapterOrder, type HeldAdapters,
+	adapterOrderSchema, fingerprintOf, isAdapterName, type ExecutedAdapterOrder, type LoadedAdapters,
 } from './engine-adapters.js';
 
-/** What the engine does wrong until told otherwise. */
+/** Faults that the engine simulates while they are set. */
 export type EngineFaults = {
-	/** Wait before each token. */
+	/** Additional delay before each token. */
 	stallMs?: number;
-	/** End the process under a request with this text, behind so many tokens, and be back empty after `downMs`. */
-	endsUnder?: {readonly content: string; readonly afterTokens: number; readonly downMs: number};
-	/** Cut the connection after this many tokens. */
+	/** Crash on a request with this text, after this many tokens, and restart without weights after `downMs`. */
+	crashesOn?: {readonly content: string; readonly afterTokens: number; readonly downMs: number};
+	/** Close the connection after this many tokens. */
 	cutAfterTokens?: number;
-	/** Answer nothing until this resolves. */
+	/** Hold all answers until this resolves. */
 	heldUntil?: Promise<void>;
-	/** Take the request and never answer. */
+	/** Accept the request and never respond. */
 	isSilent?: boolean;
-	/** Say nothing more after this many tokens, and keep the connection. */
+	/** Send no more data after this many tokens, and keep the connection open. */
 	silentAfterTokens?: number;
-	/** Hold other weights from this token on, as if somebody else had ordered a load. */
+	/** Hold other weights from this token on, as if a third party had sent a load command. */
 	swapAfterTokens?: number;
-	/** Answer with the previous request's answer, its request id included, as a connection that mixes up its requests does. */
+	/** Send the previous request's answer, including its request id, as a connection that mixes up its requests does. */
 	isCrossed?: boolean;
-	/** Answer from the base alone when an adapter is asked for that it does not hold, instead of refusing. */
+	/** Answer from the base alone if a request names an adapter that is not loaded, instead of refusing it. */
 	fallsBackToBase?: boolean;
-	/** Keep adapters when another base is loaded. */
+	/** Keep the adapters when another base is loaded. */
 	keepsAdapters?: boolean;
-	/** Wait this long before an order about an adapter is carried out. */
+	/** Delay before an adapter command is executed. */
 	adapterOrderMs?: number;
 };
 
 export type FakeEngineOptions = {
 	/** @default '127.0.0.1:0' */
 	readonly listen?: string;
-	/** Whether load orders with an old fencing number are refused. @default true */
+	/** Whether load commands with an old fencing number are refused. @default true */
 	readonly checksFencing?: boolean;
 	/** @default 1 */
 	readonly tokenMs?: number;
-	/** How late the reported load is. @default 200 */
+	/** Maximum age of the reported load. @default 200 */
 	readonly loadLagMs?: number;
-	/** Where runs are recorded, and under which host. */
+	/** The history in which runs are recorded, and the host id in these records. */
 	readonly recordTo?: {readonly history: History; readonly hostId: string};
 };
 
-/** One run of a request, as the engine saw it. */
+/** One run of a request, as recorded by the engine. */
 export type EngineRun = {readonly requestId: string; readonly digest: string; readonly adapterDigest: string | null; readonly startedAtMs: number};
 
 export type FakeEngine = {
 	readonly address: string;
 	readonly faults: EngineFaults;
 	readonly runs: readonly EngineRun[];
-	/** Files that it was ordered to load, first to last. */
+	/** Files of the executed load commands, in order. */
 	readonly loadedFiles: readonly string[];
-	/** Digest over the bytes that it really holds. */
+	/** Digest of the bytes that the engine actually holds. */
 	readonly heldDigest: () => string | null;
-	/** Adapters that it really holds, by the name that callers give, with the digest over their bytes. */
+	/** Adapters that the engine actually holds, by the name that callers use, with the digest of their bytes. */
 	readonly heldAdapters: () => ReadonlyMap<string, {readonly digest: string}>;
-	/** Orders about adapters that it carried out, first to last. */
-	readonly adapterOrders: readonly DoneAdapterOrder[];
-	/** Forgets everything, as a restart does. */
+	/** Executed adapter commands, in order. */
+	readonly adapterOrders: readonly ExecutedAdapterOrder[];
+	/** Drops the weights and adapters, as a restart does. */
 	restart(): void;
-	/** Loses one adapter. */
+	/** Drops one adapter. */
 	dropAdapter(name: string): void;
-	/** Requests that it works on now. */
+	/** Number of requests that are running. */
 	readonly running: () => number;
 	close(): Promise<void>;
 };
@@ -86,9 +86,9 @@
 type Loaded = {readonly versionId: string; readonly digest: string; readonly fencingNumber: number};
 
 /**
- * A small model engine: it reads the weights that it is told to load, and
- * answers with the digest of what it read, so that a test sees which bytes
- * gave an answer.
+ * Creates a small model engine: it reads the weights that it is told to load, and
+ * puts the digest of what it read into its answers, so that a test sees which
+ * weights an answer came from.
  */
 export const createFakeEngine = async (options: FakeEngineOptions = {}): Promise<FakeEngine> => {
 	const {listen = '127.0.0.1:0', checksFencing = true, tokenMs = 1, loadLagMs = 200, recordTo} = options;
@@ -96,8 +96,8 @@
 	const runs: EngineRun[] = [];
 	const loadedFiles: string[] = [];
 	let loaded: Loaded | null = null;
-	const adapters: HeldAdapters = new Map();
-	const adapterOrders: DoneAdapterOrder[] = [];
+	const adapters: LoadedAdapters = new Map();
+	const adapterOrders: ExecutedAdapterOrder[] = [];
 	let running = 0;
 	let reportedLoad = {running: 0, atMs: 0};
 	let previous = {requestId: '', text: ''};
@@ -119,7 +119,7 @@
 		sendJson(response, 200, status());
 	};
 
-	/** A checking engine takes an adapter only onto the base that it was made for. */
+	/** With `checksFencing`, the engine accepts an adapter only with the base that it was made for. */
 	const changeAdapters = async (request: http.IncomingMessage, response: http.ServerResponse): Promise<void> => {
 		const order = adapterOrderSchema.parse(JSON.parse((await readBody(request)).toString()));
 		await delay(faults.adapterOrderMs ?? 0);
@@ -193,9 +193,9 @@
 		}
 
 		await faults.heldUntil;
-		const own = {requestId, text: ownText};
-		const {requestId: answeredId, text} = faults.isCrossed ? previous : own;
-		previous = own;
+		const ownAnswer = {requestId, text: ownText};
+		const {requestId: answeredId, text} = faults.isCrossed ? previous : ownAnswer;
+		previous = ownAnswer;
 		const answer = {
 			id: answeredId, model, system_fingerprint: fingerprint, created: 0,
 		};
@@ -205,7 +205,7 @@
 			response.setHeader('x-engine-adapter-digest', adapterDigest);
 		}
 
-		await (stream ? streamAnswer(response, answer, text, maxTokens) : wholeAnswer(response, answer, text, maxTokens));
+		await (stream ? streamAnswer(response, answer, text, maxTokens) : sendAnswer(response, answer, text, maxTokens));
 	};
 
 	const swapWeights = (): void => {
@@ -214,7 +214,7 @@
 		}
 	};
 
-	const wholeAnswer = async (response: http.ServerResponse, answer: Record<string, unknown>, text: string, maxTokens: number): Promise<void> => {
+	const sendAnswer = async (response: http.ServerResponse, answer: Record<string, unknown>, text: string, maxTokens: number): Promise<void> => {
 		await delay((tokenMs * maxTokens) + (faults.stallMs ?? 0));
 		if (faults.cutAfterTokens !== undefined) {
 			response.destroy();
@@ -231,8 +231,8 @@
 		});
 	};
 
-	/** The process ends, with all its connections, and starts again without weights. */
-	const end = (downMs: number): void => {
+	/** Simulates a crash of the process: closes all connections and restarts without weights. */
+	const crash = (downMs: number): void => {
 		server.destroy();
 		loaded = null;
 		adapters.clear();
@@ -243,10 +243,10 @@
 
 	const streamAnswer = async (response: http.ServerResponse, answer: Record<string, unknown>, text: string, maxTokens: number): Promise<void> => {
 		response.writeHead(200, {'content-type': 'text/event-stream', 'cache-control': 'no-store'});
-		const {endsUnder} = faults;
+		const {crashesOn: endsUnder} = faults;
 		for (let index = 0; index < maxTokens; index++) {
 			if (text === `echo ${endsUnder?.content}` && index === endsUnder?.afterTokens) {
-				end(endsUnder.downMs);
+				crash(endsUnder.downMs);
 				return;
 			}
 
@@ -271,8 +271,8 @@
 		response.end('data: [DONE]\n\n');
 	};
 
-	const serve = async (at: string): Promise<HttpServer> => createHttpServer({
-		listen: at,
+	const serve = async (listenAddress: string): Promise<HttpServer> => createHttpServer({
+		listen: listenAddress,
 		async handler(request, response) {
 			const route = `${request.method} ${request.url}`;
 			switch (route) {
@@ -309,9 +309,9 @@
 	let server = await serve(listen);
 	let isClosed = false;
 	const {address} = server;
-	const start = async (at: string): Promise<void> => {
+	const start = async (listenAddress: string): Promise<void> => {
 		if (!isClosed) {
-			server = await serve(at);
+			server = await serve(listenAddress);
 		}
 	};
 
--- a/packages/test-support/src/folder/test-folder.ts
+++ b/packages/test-support/src/folder/test-folder.ts
@@ -1,16 +1,17 @@
-/** What of a test a folder needs. */
-export type FolderOwner = {
+/** The part of a test that a test folder needs. */
+export type TestFolderOwner = {
 	teardown(handler: () => void): void;
 	testdir(): string;
 };
 
 /**
- * A folder that is there until everything in the test has been torn down. The
- * test runner removes a folder of its own before the teardowns that are registered
- * after it: a node that still writes there makes the removal fail (ENOTEMPTY), and
- * the node is never closed. With one teardown registered first, all of them come first.
+ * Creates a folder that exists until all teardowns of the test have run. The test
+ * runner removes its test directory before the teardowns that are registered after
+ * it: a node that still writes there makes the removal fail (ENOTEMPTY), and the
+ * node is never closed. If a teardown is registered first, all teardowns run before
+ * the removal.
  */
-export const testFolder = (t: FolderOwner): string => {
+export const testFolder = (t: TestFolderOwner): string => {
 	t.teardown(() => undefined);
 	return t.testdir();
 };
--- a/packages/test-support/src/history/calls.ts
+++ b/packages/test-support/src/history/calls.ts
@@ -1,11 +1,11 @@
 import {eventsOf, type EventOf, type HistoryEvent} from './events.js';
 
-/** One caller's request from both ends: what the caller saw, and what ran. */
+/** One caller's request: what the caller observed, and what ran. */
 export type Call = {
 	readonly started: EventOf<'callStarted'>;
-	/** Missing when the history ends before the call does. */
+	/** `undefined` if the history ends before the call does. */
 	readonly ended: EventOf<'callEnded'> | undefined;
-	/** Runs known to be of this call: by its text, or by the request id that the caller was given. */
+	/** Runs that belong to this call, by its text or by the request id that the caller got. */
 	readonly runs: ReadonlyArray<EventOf<'runStarted'>>;
 };
 
@@ -32,7 +32,7 @@
 	return eventsOf(events, 'callStarted').map(started => {
 		const end = ended.get(started.callId);
 		const requestId = end === undefined || !('requestId' in end.outcome) ? null : end.outcome.requestId;
-		// Resends of a key share their text, so only the request id tells whose run it was.
+		// Resends of a key share their text, so only the request id identifies the call of a run.
 		const own = started.key === null
 			? byEcho.get(started.echo) ?? []
 			: byRequestId.get(requestId ?? '') ?? [];
--- a/packages/test-support/src/history/check-answers.ts
+++ b/packages/test-support/src/history/check-answers.ts
@@ -4,7 +4,7 @@
 
 type Answered = Extract<CallOutcome, {type: 'answered'}>;
 
-/** Each answer is whole, its own, and of one version; each caller gets an end. */
+/** Checks that each answer is complete, belongs to its request and is of one version, and that each call ends. */
 export const checkAnswers = (events: readonly HistoryEvent[]): Violation[] => {
 	const digests = new Map(eventsOf(events, 'versionPublished').map(version => [version.versionId, version.digest]));
 	return collectCalls(events).flatMap(call => checkCall(call, digests));
@@ -18,7 +18,7 @@
 
 	const violation = (type: ViolationType, detail: string): Violation => ({type, atMs: ended.atMs, detail: `${started.callId}: ${detail}`});
 	if (ended.outcome.type === 'noAnswer') {
-		return [violation('noAnswer', 'the caller got nothing')];
+		return [violation('noAnswer', 'the caller got no response')];
 	}
 
 	if (ended.outcome.type !== 'answered') {
@@ -34,20 +34,20 @@
 		return [violation('foreignAnswer', `got "${answer.echo}" for "${started.echo}"`)];
 	}
 
-	const mixed = started.key === null ? findMixedWeights(answer, call, digests) : null;
-	return mixed === null ? [] : [violation('mixedWeights', mixed)];
+	const mixedDetail = started.key === null ? findMixedWeights(answer, call, digests) : null;
+	return mixedDetail === null ? [] : [violation('mixedWeights', mixedDetail)];
 };
 
-/** Why the answer is not of the one version that it is tagged with, or `null`. */
-const findMixedWeights = ({versionId, requestId, digests: seen}: Answered, {runs}: Call, digests: ReadonlyMap<string, string>): string | null => {
+/** Returns why the answer is not from the one version that it is tagged with, or `null`. */
+const findMixedWeights = ({versionId, requestId, digests: answeredDigests}: Answered, {runs}: Call, digests: ReadonlyMap<string, string>): string | null => {
 	const expected = digests.get(versionId ?? '');
 	if (expected === undefined) {
 		return `tagged with unknown version ${versionId}`;
 	}
 
-	const wrong = seen.find(digest => digest !== expected);
-	if (seen.length === 0 || wrong !== undefined) {
-		return `tagged ${versionId} (${expected}), computed by ${wrong ?? 'nothing'}`;
+	const otherDigest = answeredDigests.find(digest => digest !== expected);
+	if (answeredDigests.length === 0 || otherDigest !== undefined) {
+		return `tagged ${versionId} (${expected}), computed by ${otherDigest ?? 'nothing'}`;
 	}
 
 	const run = runs.find(candidate => candidate.requestId === requestId);
--- a/packages/test-support/src/history/check-configuration.ts
+++ b/packages/test-support/src/history/check-configuration.ts
@@ -3,22 +3,22 @@
 
 type Sample = EventOf<'hostSampled'>;
 
-/** Hosts out of service may be anywhere; they serve nothing by what they hold. */
+/** Hosts out of service may have any revision, since they serve nothing by it. */
 const samplesInService = (events: readonly HistoryEvent[]): Sample[] => eventsOf(events, 'hostSampled').filter(sample => sample.isInService);
 
-/** No host in service goes back, restarts included, and equal revisions are equal states everywhere. */
+/** Checks that no host in service returns to an older revision, even over restarts, and that equal revisions are equal states on all hosts. */
 export const checkRevisions = (events: readonly HistoryEvent[]): Violation[] => {
 	const violations: Violation[] = [];
 	const highest = new Map<string, number>();
 	const digests = new Map<number, Sample>();
 	for (const sample of samplesInService(events)) {
 		const {hostId, revision, digest, atMs} = sample;
-		const before = highest.get(hostId) ?? 0;
-		if (revision < before) {
-			violations.push({type: 'revisionWentBack', atMs, detail: `${hostId} went from revision ${before} to ${revision}`});
+		const highestBefore = highest.get(hostId) ?? 0;
+		if (revision < highestBefore) {
+			violations.push({type: 'revisionWentBack', atMs, detail: `${hostId} went from revision ${highestBefore} to ${revision}`});
 		}
 
-		highest.set(hostId, Math.max(before, revision));
+		highest.set(hostId, Math.max(highestBefore, revision));
 		const known = digests.get(revision);
 		if (known === undefined) {
 			digests.set(revision, sample);
@@ -30,7 +30,7 @@
 	return violations;
 };
 
-/** An accepted change is in force within `boundMs` on every host that is in service then. */
+/** Checks that an accepted change is in force within `boundMs` on every host that is then in service. */
 export const checkInForce = (events: readonly HistoryEvent[], boundMs: number): Violation[] => {
 	const violations: Violation[] = [];
 	const accepted: Array<{readonly dueAtMs: number; readonly revision: number}> = [];
@@ -40,7 +40,7 @@
 		} else if (event.type === 'hostSampled' && event.isInService) {
 			const missed = accepted.find(({dueAtMs, revision}) => event.atMs > dueAtMs && event.revision < revision);
 			if (missed !== undefined) {
-				violations.push({type: 'notInForce', atMs: event.atMs, detail: `${event.hostId} serves by revision ${event.revision}; ${missed.revision} was due`});
+				violations.push({type: 'notInForce', atMs: event.atMs, detail: `${event.hostId} serves by revision ${event.revision}, but revision ${missed.revision} was due`});
 			}
 		}
 	}
@@ -48,7 +48,7 @@
 	return violations;
 };
 
-/** A resent command has one result, and of commands under equal numbers one wins. */
+/** Checks that all resends of a command get the same result, and that of the commands with an equal expected revision at most one is accepted. */
 export const checkCommands = (events: readonly HistoryEvent[]): Violation[] => {
 	const violations: Violation[] = [];
 	const results = new Map<string, string>();
@@ -71,7 +71,7 @@
 
 		const winner = winners.get(ifRevision) ?? commandId;
 		if (winner !== commandId) {
-			violations.push({type: 'racersBothAccepted', atMs, detail: `${winner} and ${commandId} both won revision ${ifRevision}`});
+			violations.push({type: 'racersBothAccepted', atMs, detail: `${winner} and ${commandId} were both accepted for revision ${ifRevision}`});
 		}
 
 		winners.set(ifRevision, winner);
--- a/packages/test-support/src/history/check-history.ts
+++ b/packages/test-support/src/history/check-history.ts
@@ -6,13 +6,13 @@
 import type {Violation} from './violation.js';
 
 export type CheckOptions = {
-	/** From when on a leaving host must get no new work. @default 3000 */
+	/** Time after which a leaving host must get no new work. @default 3000 */
 	readonly leaveBoundMs?: number;
-	/** Within which an accepted change is in force, or the host out of service. @default 10000 */
+	/** Time within which an accepted change is in force on a host, or the host is out of service. @default 10000 */
 	readonly inForceBoundMs?: number;
 };
 
-/** Holds a history against the promises; every broken one is told. Events must lie in the order of their times. */
+/** Checks a history against all invariants and returns every violation. Events must be in the order of their times. */
 export const checkHistory = (events: readonly HistoryEvent[], {leaveBoundMs = 3000, inForceBoundMs = 10_000}: CheckOptions = {}): Violation[] => [
 	...checkRunsPerKey(events),
 	...checkNotRun(events),
--- a/packages/test-support/src/history/check-leaving.ts
+++ b/packages/test-support/src/history/check-leaving.ts
@@ -13,7 +13,7 @@
 	}));
 };
 
-/** From `boundMs` after a drain or stop on, nothing starts on that host until it is back. */
+/** Checks that nothing starts on a host later than `boundMs` after its drain or stop, until it is back. */
 export const checkLeaving = (events: readonly HistoryEvent[], boundMs: number): Violation[] => {
 	const runs = eventsOf(events, 'runStarted');
 	return collectLeaves(events).flatMap(leave => runs
@@ -33,16 +33,16 @@
 const overlap = (a: Interval, b: Interval): boolean => a.startMs <= b.endMs && b.startMs <= a.endMs;
 
 /**
- * A call that was cut, or left with "may have run", while a node on its way
- * was in a planned stop or drain. A fault at the same time on one of the
- * nodes that it passed may have been the cause, so it excuses the stop.
+ * Finds calls that were cut off, or got "may have run", while a node on their path
+ * was in a planned stop or drain. A simultaneous fault on one of the nodes of the
+ * path may have been the cause, so such a call does not count as a violation.
  */
 export const checkPlannedStops = (events: readonly HistoryEvent[]): Violation[] => {
 	const leaves = collectLeaves(events);
 	const faults = collectFaults(events);
 	return collectCalls(events).flatMap(call => {
 		const {started, ended} = call;
-		if (ended === undefined || !isBroken(ended)) {
+		if (ended === undefined || !isInterrupted(ended)) {
 			return [];
 		}
 
@@ -56,6 +56,6 @@
 	});
 };
 
-const isBroken = ({outcome}: EventOf<'callEnded'>): boolean => outcome.type === 'cut' || outcome.type === 'mayHaveRun';
+const isInterrupted = ({outcome}: EventOf<'callEnded'>): boolean => outcome.type === 'cut' || outcome.type === 'mayHaveRun';
 
 const nodesOf = ({started, runs}: Call): string[] => [started.entryId, ...runs.map(run => run.hostId)];
--- a/packages/test-support/src/history/record-call.ts
+++ b/packages/test-support/src/history/record-call.ts
@@ -13,13 +13,13 @@
 	readonly history: History;
 	readonly callId: string;
 	readonly entryId: string;
-	/** Where the entry listens. */
+	/** The address of the entry. */
 	readonly address: string;
 	/** The team's key. */
 	readonly token: string;
 	readonly target: CallTarget;
-	/** A call without an end after this time counts as never answered. @default 10000 */
-	readonly patienceMs?: number;
+	/** A call that has not ended after this time counts as unanswered. @default 10000 */
+	readonly callTimeoutMs?: number;
 };
 
 const errorSchema = z.object({error: z.object({type: z.string(), requestId: z.string().nullable().optional()})});
@@ -28,7 +28,7 @@
 
 type RawAnswer = {readonly status: number; readonly requestId: string; readonly versionId: string | null; readonly text: string};
 
-/** Sends one request as a caller would, and records what the caller can tell of it. */
+/** Sends one request as a caller would, and records what the caller can observe of it. */
 export const recordCall = async (options: RecordCallOptions): Promise<CallOutcome> => {
 	const {history, callId, entryId, target} = options;
 	history.record({
@@ -40,23 +40,23 @@
 };
 
 const sendCall = async (options: RecordCallOptions): Promise<CallOutcome> => {
-	const {patienceMs = 10_000, target} = options;
-	const patience = new AbortController();
+	const {callTimeoutMs = 10_000, target} = options;
+	const timeout = new AbortController();
 	const timer = setTimeout(() => {
-		patience.abort();
-	}, patienceMs);
+		timeout.abort();
+	}, callTimeoutMs);
 	try {
-		return classify(await fetchAnswer(options, patience.signal), target);
+		return classify(await fetchAnswer(options, timeout.signal), target);
 	} catch {
-		return {type: patience.signal.aborted ? 'noAnswer' : 'cut'};
+		return {type: timeout.signal.aborted ? 'noAnswer' : 'cut'};
 	} finally {
 		clearTimeout(timer);
 	}
 };
 
-const fetchAnswer = async ({address, token, callId, target, patienceMs = 10_000}: RecordCallOptions, signal: AbortSignal): Promise<RawAnswer> => {
+const fetchAnswer = async ({address, token, callId, target, callTimeoutMs = 10_000}: RecordCallOptions, signal: AbortSignal): Promise<RawAnswer> => {
 	const shared = {
-		address, method: 'POST', agent: false, idleTimeoutMs: patienceMs * 2, signal,
+		address, method: 'POST', agent: false, idleTimeoutMs: callTimeoutMs * 2, signal,
 	} as const;
 	const headers = {'content-type': 'application/json', authorization: `Bearer ${token}`};
 	const response = target.type === 'model'
@@ -71,12 +71,12 @@
 	const text = (await readBody(response)).toString();
 	return {
 		status: response.statusCode!, text, requestId: String(response.headers[requestIdHeader] ?? ''),
-		versionId: tagOf(response.headers),
+		versionId: versionTagOf(response.headers),
 	};
 };
 
-/** What the answer claims to come from: the adapter with its base, or the version. */
-const tagOf = (headers: http.IncomingHttpHeaders): string | null => {
+/** The origin that the answer is tagged with: the adapter with its base, or the version. */
+const versionTagOf = (headers: http.IncomingHttpHeaders): string | null => {
 	const tag = headers[adapterHeader] ?? headers[versionHeader];
 	return tag === undefined ? null : String(tag);
 };
--- a/packages/test-support/src/history/violation.ts
+++ b/packages/test-support/src/history/violation.ts
@@ -3,5 +3,5 @@
 		| 'workAfterLeaving' | 'cutByPlannedStop' | 'revisionWentBack' | 'revisionsDiffer' | 'notInForce'
 		| 'resendChangedResult' | 'racersBothAccepted';
 
-/** One broken promise, with the moment of the event that shows it. */
+/** One violated invariant, with the time of the event that shows it. */
 export type Violation = {readonly type: ViolationType; readonly atMs: number; readonly detail: string};
--- a/packages/test-support/src/origin/fake-origin.ts
+++ b/packages/test-support/src/origin/fake-origin.ts
@@ -6,9 +6,9 @@
 import {createHttpServer, sendJson} from '@bitternpaddle/transport';
 
 export type OriginFaults = {
-	/** Flip a byte in every answer. */
+	/** Corrupt a byte in every response with weights. */
 	isCorrupting?: boolean;
-	/** Flip a byte in every answer about this manifest's weights. */
+	/** Corrupt a byte in every response with weights of this manifest. */
 	corruptedManifestId?: string;
 	/** Refuse every request. */
 	isDown?: boolean;
@@ -17,9 +17,9 @@
 export type FakeOriginOptions = {
 	/** @default '127.0.0.1:0' */
 	readonly listen?: string;
-	/** Shared by all answers; without it answers leave at once. */
+	/** Bandwidth shared by all responses; without it responses are sent immediately. */
 	readonly bytesPerSecond?: number;
-	/** Requests a second before 429, as a weight store has them; without it there is no such limit. */
+	/** Requests per second above which requests are refused with 429, as by a weight store; without it there is no limit. */
 	readonly requestsPerSecond?: number;
 };
 
@@ -28,9 +28,9 @@
 	readonly faults: OriginFaults;
 	/** Weight bytes sent so far. */
 	readonly sentBytes: () => number;
-	/** Requests answered with 429 so far. */
+	/** Requests refused with 429 so far. */
 	readonly refusedRequests: () => number;
-	/** Puts weights behind the origin and gives the id of their manifest. */
+	/** Publishes weights at the origin and returns the id of their manifest. */
 	publish(weights: Uint8Array, chunkSizeBytes: number, baseManifestId?: ManifestId): Promise<{manifestId: ManifestId; manifest: Manifest}>;
 	close(): Promise<void>;
 };
@@ -38,9 +38,9 @@
 type Published = {readonly manifest: Manifest; readonly weights: Uint8Array};
 
 /**
- * An HTTP origin: `GET /manifests/ID` gives the manifest, `GET /weights/ID`
- * the bytes, by range. With `requestsPerSecond` it is a rate-limited weight
- * store that answers 429 with `Retry-After`.
+ * Creates an HTTP origin: `GET /manifests/ID` returns the manifest, `GET /weights/ID`
+ * a byte range of the weights. With `requestsPerSecond` it is a rate-limited weight
+ * store that responds with 429 and `Retry-After`.
  */
 export const createFakeOrigin = async (options: FakeOriginOptions = {}): Promise<FakeOrigin> => {
 	const {listen = '127.0.0.1:0', bytesPerSecond, requestsPerSecond} = options;
@@ -75,7 +75,7 @@
 	const sendWeights = async (request: http.IncomingMessage, response: http.ServerResponse, {weights, manifest}: Published): Promise<void> => {
 		const range = /^bytes=(\d+)-(\d+)$/v.exec(String(request.headers.range ?? ''));
 		if (range === null) {
-			sendJson(response, 416, {error: 'a byte range is needed'});
+			sendJson(response, 416, {error: 'a byte range is required'});
 			return;
 		}
 
@@ -103,7 +103,7 @@
 				refusedRequests++;
 				sendJson(response, 429, {error: 'too many requests'}, {'retry-after': '1'});
 			} else if (found === undefined) {
-				sendJson(response, 404, {error: `nothing at ${request.url}`});
+				sendJson(response, 404, {error: `nothing is published at ${request.url}`});
 			} else if (kind === 'manifests') {
 				sendJson(response, 200, found.manifest);
 			} else {
@@ -119,7 +119,7 @@
 		async publish(weights, chunkSizeBytes, baseManifestId) {
 			const manifest = await createManifest([weights], {chunkSizeBytes, baseManifestId});
 			const manifestId = manifestIdOf(manifest);
-			// Stored as parsed canonical JSON, so that what is served gives the same id.
+			// Stored as parsed canonical JSON, so that the served manifest has the same id.
 			published.set(manifestId, {manifest: JSON.parse(canonicalJson(manifest)) as Manifest, weights});
 			return {manifestId, manifest};
 		},
--- a/packages/test-support/src/relay/relay.ts
+++ b/packages/test-support/src/relay/relay.ts
@@ -2,52 +2,52 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {parseAddress} from '@bitternpaddle/transport';
 
-/** What a relay does with the bytes of one direction. */
+/** How a relay handles the data of one direction. */
 export type RelayMode
 	= | 'open'
-	/** Bytes wait and arrive late, as through a frozen process or a link that comes back. */
+	/** Data is held and arrives late, as through a suspended process or a link that recovers. */
 		| 'held'
-	/** Bytes vanish; neither end learns of it. */
+	/** Data is lost without an error at either end. */
 		| 'dropped';
 
 export type RelayModes = {readonly forward: RelayMode; readonly backward: RelayMode};
 
-/** A TCP relay on loopback that stands for a link, and fails like one. */
+/** A TCP relay on loopback that simulates a network link and its failures. */
 export type Relay = {
-	/** `ip:port` that stands for the target. */
+	/** `ip:port` to connect to in place of the target. */
 	readonly address: string;
-	/** Where new connections go; for a target that comes back on another port. */
+	/** Sets the target of new connections, for a target that restarts on another port. */
 	setTarget(address: string): void;
-	/** For open and new connections. Connections that have lost bytes end once the mode changes. */
+	/** Applies to open and new connections. Connections that have lost data are closed when the mode changes. */
 	setModes(modes: RelayModes): void;
-	/** The open connections go silent for good; new ones work. */
+	/** The open connections permanently drop all data; new ones work. */
 	silenceOpenConnections(): void;
-	/** The open connections carry nothing until `setModes` is called, and then everything late; new ones work. */
+	/** The open connections hold all data until `setModes` is called, and then deliver it late; new ones work. */
 	holdOpenConnections(): void;
-	/** Ends all connections that have lost bytes, as their ends' own timeouts would. */
+	/** Closes all connections that have lost data, as the timeouts of their peers would. */
 	endSilentConnections(): void;
-	/** Refuses new connections and ends the open ones, as a host does whose process has died. */
+	/** Refuses new connections and closes the open ones, as a host whose process has crashed. */
 	goDown(): void;
-	/** Refuses new connections, as after a planned end; what was sent before still arrives. */
+	/** Refuses new connections, as after a planned stop; data that was already sent still arrives. */
 	stopListening(): void;
-	/** Listens again on the same address. */
+	/** Listens on the same address again. */
 	comeUp(): Promise<void>;
 	close(): void;
 };
 
 export type RelayOptions = {
-	/** Without it connections are ended until `setTarget` is called. */
+	/** Without it, connections are closed until `setTarget` is called. */
 	readonly target?: string;
-	/** One way. @default 0 */
+	/** One-way latency. @default 0 */
 	readonly latencyMs?: number;
 };
 
 type Direction = keyof RelayModes;
 
-type Pair = {
+type ConnectionPair = {
 	readonly client: net.Socket;
 	readonly server: net.Socket;
-	/** What happened while a direction was held, in order. */
+	/** The actions that were held in each direction, in order. */
 	readonly held: Record<Direction, Array<() => void>>;
 	modes: RelayModes;
 	isSilenced: boolean;
@@ -57,29 +57,29 @@
 const openModes: RelayModes = {forward: 'open', backward: 'open'};
 
 export const createRelay = async ({target, latencyMs = 0}: RelayOptions = {}): Promise<Relay> => {
-	const pairs = new Set<Pair>();
+	const pairs = new Set<ConnectionPair>();
 	let currentTarget = target;
 	let modes = openModes;
 
-	const end = (pair: Pair): void => {
+	const closePair = (pair: ConnectionPair): void => {
 		pairs.delete(pair);
 		pair.client.destroy();
 		pair.server.destroy();
 	};
 
-	const pass = (pair: Pair, direction: Direction, action: () => void): void => {
+	const relayAction = (pair: ConnectionPair, direction: Direction, action: () => void): void => {
 		if (latencyMs === 0) {
-			passNow(pair, direction, action);
+			relayActionNow(pair, direction, action);
 			return;
 		}
 
 		// Timers of one length fire in the order in which they were set.
 		setTimeout(() => {
-			passNow(pair, direction, action);
+			relayActionNow(pair, direction, action);
 		}, latencyMs);
 	};
 
-	const passNow = (pair: Pair, direction: Direction, action: () => void): void => {
+	const relayActionNow = (pair: ConnectionPair, direction: Direction, action: () => void): void => {
 		const mode = pair.modes[direction];
 		if (pair.isSilenced || mode === 'dropped') {
 			pair.hasLostBytes = true;
@@ -97,47 +97,47 @@
 		}
 
 		const {host, port} = parseAddress(currentTarget);
-		const outgoing = net.connect({host, port});
-		const pair: Pair = {
-			client, server: outgoing, modes, isSilenced: false, hasLostBytes: false, held: {forward: [], backward: []},
+		const upstream = net.connect({host, port});
+		const pair: ConnectionPair = {
+			client, server: upstream, modes, isSilenced: false, hasLostBytes: false, held: {forward: [], backward: []},
 		};
 		pairs.add(pair);
 		client.setNoDelay(true);
-		outgoing.setNoDelay(true);
+		upstream.setNoDelay(true);
 		client.on('data', (data: Uint8Array) => {
-			pass(pair, 'forward', () => {
-				outgoing.write(data);
+			relayAction(pair, 'forward', () => {
+				upstream.write(data);
 			});
 		});
-		outgoing.on('data', (data: Uint8Array) => {
-			pass(pair, 'backward', () => {
+		upstream.on('data', (data: Uint8Array) => {
+			relayAction(pair, 'backward', () => {
 				client.write(data);
 			});
 		});
 		client.on('end', () => {
-			pass(pair, 'forward', () => {
-				outgoing.end();
+			relayAction(pair, 'forward', () => {
+				upstream.end();
 			});
 		});
-		outgoing.on('end', () => {
-			pass(pair, 'backward', () => {
+		upstream.on('end', () => {
+			relayAction(pair, 'backward', () => {
 				client.end();
 			});
 		});
 		client.on('close', () => {
-			pass(pair, 'forward', () => {
+			relayAction(pair, 'forward', () => {
 				pairs.delete(pair);
-				outgoing.destroySoon();
+				upstream.destroySoon();
 			});
 		});
-		outgoing.on('close', () => {
-			pass(pair, 'backward', () => {
+		upstream.on('close', () => {
+			relayAction(pair, 'backward', () => {
 				pairs.delete(pair);
 				client.destroySoon();
 			});
 		});
-		for (const socket of [client, outgoing]) {
-			// Followed by `close`, which passes the end on.
+		for (const socket of [client, upstream]) {
+			// Followed by `close`, whose handler forwards the end of the connection.
 			socket.on('error', () => undefined);
 		}
 	});
@@ -147,14 +147,14 @@
 	const goDown = (): void => {
 		server.close();
 		for (const pair of pairs) {
-			end(pair);
+			closePair(pair);
 		}
 	};
 
-	const changeModes = (pair: Pair, changed: RelayModes): void => {
+	const changeModes = (pair: ConnectionPair, changed: RelayModes): void => {
 		pair.modes = changed;
 		if (pair.hasLostBytes && !pair.isSilenced) {
-			end(pair);
+			closePair(pair);
 			return;
 		}
 
@@ -191,7 +191,7 @@
 		endSilentConnections() {
 			for (const pair of pairs) {
 				if (pair.isSilenced || pair.hasLostBytes) {
-					end(pair);
+					closePair(pair);
 				}
 			}
 		},
@@ -208,7 +208,7 @@
 	};
 };
 
-/** A port that a process gave up may have been taken for somebody's outgoing connection. */
+/** A port that was released may have been taken for an outgoing connection of another process. */
 const portRetryMs = 20;
 
 const listen = async (server: net.Server, port: number): Promise<void> => new Promise((resolve, reject) => {
--- a/packages/test-support/src/service/fake-service.ts
+++ b/packages/test-support/src/service/fake-service.ts
@@ -3,18 +3,18 @@
 import type {History} from '../history/events.js';
 
 export type ServiceFaults = {
-	/** Run, then cut the connection instead of answering. */
+	/** Run the request, then close the connection instead of responding. */
 	isCutAfterRun?: boolean;
-	/** Run, then never answer. */
+	/** Run the request, then never respond. */
 	isSilent?: boolean;
-	/** Run, and answer so much later. */
+	/** Run the request, and respond after this delay. */
 	stallMs?: number;
 };
 
 export type FakeService = {
 	readonly address: string;
 	readonly faults: ServiceFaults;
-	/** How often each `Idempotency-Key` has run. */
+	/** Number of runs of each `Idempotency-Key`. */
 	readonly runsPerKey: ReadonlyMap<string, number>;
 	close(): Promise<void>;
 };
@@ -22,11 +22,11 @@
 export type FakeServiceOptions = {
 	/** @default '127.0.0.1:0' */
 	readonly listen?: string;
-	/** Where runs are recorded, and under which host. */
+	/** The history in which runs are recorded, and the host id in these records. */
 	readonly recordTo?: {readonly history: History; readonly hostId: string};
 };
 
-/** A plain service, such as a ledger of bookings, that counts what it runs. */
+/** Creates a plain service, such as a ledger of bookings, that counts its runs. */
 export const createFakeService = async ({listen = '127.0.0.1:0', recordTo}: FakeServiceOptions = {}): Promise<FakeService> => {
 	const faults: ServiceFaults = {};
 	const runsPerKey = new Map<string, number>();
@@ -35,8 +35,8 @@
 		async handler(request, response) {
 			const body = (await readBody(request)).toString();
 			const key = String(request.headers['idempotency-key'] ?? '');
-			const runs = (runsPerKey.get(key) ?? 0) + 1;
-			runsPerKey.set(key, runs);
+			const runCount = (runsPerKey.get(key) ?? 0) + 1;
+			runsPerKey.set(key, runCount);
 			recordTo?.history.record({
 				type: 'runStarted', hostId: recordTo.hostId, requestId: String(request.headers['x-request-id'] ?? ''), echo: key, key: key === '' ? null : key, digest: null,
 			});
@@ -48,7 +48,7 @@
 			await delay(faults.stallMs ?? 0);
 			if (!faults.isSilent) {
 				sendJson(response, 200, {
-					done: true, path: request.url, key, runs, bodyBytes: body.length,
+					done: true, path: request.url, key, runs: runCount, bodyBytes: body.length,
 				});
 			}
 		},
--- a/packages/test-support/src/trace/replay-trace.ts
+++ b/packages/test-support/src/trace/replay-trace.ts
@@ -1,14 +1,14 @@
 import {match} from 'ts-pattern';
 import type {TraceStep, TraceTarget} from './trace.js';
 
-/** A step whose outcome was not the one that the trace states. */
+/** A step whose outcome differs from the one that the trace expects. */
 export type TraceDifference = {readonly line: number; readonly expected: string; readonly actual: string};
 
-/** Carries out a trace step by step and compares each outcome with the stated one. */
+/** Executes a trace step by step and compares each outcome with the expected one. */
 export const replayTrace = async (steps: readonly TraceStep[], target: TraceTarget): Promise<TraceDifference[]> => {
 	const differences: TraceDifference[] = [];
 	for (const [index, step] of steps.entries()) {
-		const {expected, actual} = await carryOut(step, target);
+		const {expected, actual} = await executeStep(step, target);
 		if (expected !== actual) {
 			differences.push({line: index + 1, expected, actual});
 		}
@@ -17,16 +17,16 @@
 	return differences;
 };
 
-type Compared = {readonly expected: string; readonly actual: string};
+type StepResult = {readonly expected: string; readonly actual: string};
 
-const nothingStated: Compared = {expected: '', actual: ''};
+const noExpectation: StepResult = {expected: '', actual: ''};
 
-const carryOut = async (step: TraceStep, target: TraceTarget): Promise<Compared> => match(step)
+const executeStep = async (step: TraceStep, target: TraceTarget): Promise<StepResult> => match(step)
 	.with({type: 'operator'}, async operator => ({expected: operator.outcome, actual: await target.operator(operator)}))
 	.with({type: 'version'}, async version => ({expected: version.outcome, actual: await target.version(version)}))
 	.with({type: 'await'}, async awaited => {
 		await target.await(awaited);
-		return nothingStated;
+		return noExpectation;
 	})
 	.with({type: 'calls'}, async calls => {
 		const outcome = calls.versionId === undefined ? calls.outcome : `${calls.outcome} ${calls.versionId}`;
@@ -37,15 +37,15 @@
 	.with({type: 'runs'}, async runs => ({expected: String(runs.count), actual: String(target.runs(runs))}))
 	.with({type: 'fault'}, async fault => {
 		await target.fault(fault);
-		return nothingStated;
+		return noExpectation;
 	})
 	.with({type: 'serviceFault'}, async fault => {
 		target.serviceFault(fault);
-		return nothingStated;
+		return noExpectation;
 	})
 	.exhaustive();
 
-/** Equal outcomes counted, such as `8 x answered pitch-desk:v1`. */
+/** Counts equal outcomes, such as `8 x answered pitch-desk:v1`. */
 const summarize = (outcomes: readonly string[]): string => [...new Set(outcomes)]
 	.map(outcome => `${outcomes.filter(other => other === outcome).length} x ${outcome}`)
 	.join(', ');
--- a/packages/test-support/test/check-history.test.ts
+++ b/packages/test-support/test/check-history.test.ts
@@ -6,7 +6,7 @@
 const digest = `sha256:${'a'.repeat(64)}`;
 const otherDigest = `sha256:${'b'.repeat(64)}`;
 
-/** A record a millisecond after the last, unless it says when. */
+/** Creates events from records; each is a millisecond after the previous one unless it has its own time. */
 const historyOf = (...records: Array<HistoryRecord & {readonly atMs?: number}>): HistoryEvent[] => records.map((entry, index) => ({...entry, atMs: entry.atMs ?? index}));
 
 const published: HistoryRecord = {type: 'versionPublished', versionId: 'desk:v1', digest};
@@ -16,7 +16,7 @@
 const run: HistoryRecord = {
 	type: 'runStarted', hostId: 'h1', requestId: 'r1', echo: 'echo c1', key: null, digest,
 };
-const whole: CallOutcome = {
+const complete: CallOutcome = {
 	type: 'answered', requestId: 'r1', versionId: 'desk:v1', isComplete: true, echo: 'echo c1', digests: [digest, digest],
 };
 const ended = (outcome: CallOutcome): HistoryRecord => ({type: 'callEnded', callId: 'c1', outcome});
@@ -35,35 +35,35 @@
 	type: 'faultStarted', faultId: 'f1', kind: 'agentKill', nodeIds: ['h1'],
 };
 
-const rightHistories: Record<string, HistoryEvent[]> = {
-	'an answer': historyOf(published, started, run, ended(whole)),
+const correctHistories: Record<string, HistoryEvent[]> = {
+	'an answer': historyOf(published, started, run, ended(complete)),
 	'a booking that was resent': historyOf(booked, {...booked, callId: 'c2'}, bookingRun('r1'), ended({
-		...whole, versionId: null, echo: 'k1', digests: [],
+		...complete, versionId: null, echo: 'k1', digests: [],
 	}), {type: 'callEnded', callId: 'c2', outcome: {type: 'notRun', requestId: 'r2'}}),
 	'a refusal': historyOf(published, started, ended({type: 'notRun', requestId: 'r1'})),
-	'work shortly after a drain': historyOf(published, started, drain, run, ended(whole)),
-	'work after the drain was undone': historyOf(published, drain, {type: 'leaveEnded', nodeId: 'h1', atMs: 9000}, {...started, atMs: 9001}, {...run, atMs: 9002}, {...ended(whole), atMs: 9003}),
+	'work shortly after a drain': historyOf(published, started, drain, run, ended(complete)),
+	'work after the drain was undone': historyOf(published, drain, {type: 'leaveEnded', nodeId: 'h1', atMs: 9000}, {...started, atMs: 9001}, {...run, atMs: 9002}, {...ended(complete), atMs: 9003}),
 	'a cut by a kill during a drain': historyOf(started, run, drain, fault, ended({type: 'cut'})),
 	'a host out of service that lags': historyOf(command('o1', 5), sample(5), sample(3, 20_000, {hostId: 'h2', isInService: false})),
-	'a host that returns from nothing': historyOf(sample(5), sample(0, undefined, {isInService: false}), sample(6)),
+	'a host that restarts without a configuration': historyOf(sample(5), sample(0, undefined, {isInService: false}), sample(6)),
 	'a resend and a lost race': historyOf(command('o1', 5, 4), command('o1', 5, 4), command('o2', null, 4)),
 };
 
-for (const [name, events] of Object.entries(rightHistories)) {
-	t.test(`a right history passes: ${name}`, async t => {
+for (const [name, events] of Object.entries(correctHistories)) {
+	t.test(`a correct history passes: ${name}`, async t => {
 		t.same(checkHistory(events), []);
 	});
 }
 
-// Each history breaks one promise on purpose. What the checker must say is the
-// type of that violation and no other, or a violation in a real run could pass
-// unseen or be taken for another.
-const brokenHistories: Record<string, HistoryEvent[]> = {
+// Each history violates one invariant. The checker must report the type of that
+// violation and no other; otherwise a violation in a real run could be missed or be
+// taken for another.
+const violatingHistories: Record<string, HistoryEvent[]> = {
 	ranMoreThanOnce: historyOf(booked, bookingRun('r1'), bookingRun('r2'), ended({type: 'mayHaveRun', requestId: 'r1'})),
 	ranAfterNotRun: historyOf(started, ended({type: 'notRun', requestId: 'r1'}), {...run, atMs: 500}),
-	notWhole: historyOf(published, started, run, ended({...whole, isComplete: false})),
-	foreignAnswer: historyOf(published, started, run, ended({...whole, echo: 'echo c7'})),
-	mixedWeights: historyOf(published, started, run, ended({...whole, digests: [digest, otherDigest]})),
+	notWhole: historyOf(published, started, run, ended({...complete, isComplete: false})),
+	foreignAnswer: historyOf(published, started, run, ended({...complete, echo: 'echo c7'})),
+	mixedWeights: historyOf(published, started, run, ended({...complete, digests: [digest, otherDigest]})),
 	noAnswer: historyOf(started, run, ended({type: 'noAnswer'})),
 	workAfterLeaving: historyOf(drain, {...run, atMs: 3001}),
 	cutByPlannedStop: historyOf(started, run, {...drain, cause: 'stop'}, ended({type: 'cut'})),
@@ -74,14 +74,14 @@
 	racersBothAccepted: historyOf(command('o1', 5, 4), command('o2', 6, 4)),
 };
 
-for (const [type, events] of Object.entries(brokenHistories)) {
-	t.test(`a broken history is told: ${type}`, async t => {
+for (const [type, events] of Object.entries(violatingHistories)) {
+	t.test(`a violation is reported: ${type}`, async t => {
 		t.same(checkHistory(events).map(violation => violation.type), [type]);
 	});
 }
 
-// Further ways to break the same promises, which a narrower check would let pass.
-t.test('a refusal without a request id, and yet the key ran', async t => {
+// Further violations of the same invariants, which a narrower check would miss.
+t.test('a refusal without a request id although the key ran', async t => {
 	const events = historyOf(booked, bookingRun('r5'), ended({type: 'notRun', requestId: null}));
 	t.match(checkHistory(events), [{type: 'ranAfterNotRun'}]);
 });
@@ -91,16 +91,16 @@
 	t.match(checkHistory(events), [{type: 'ranAfterNotRun'}]);
 });
 
-t.test('right tokens from an engine that held other weights', async t => {
-	const events = historyOf(published, started, {...run, digest: otherDigest}, ended(whole));
+t.test('tokens tagged with the right digest from an engine that held other weights', async t => {
+	const events = historyOf(published, started, {...run, digest: otherDigest}, ended(complete));
 	t.match(checkHistory(events), [{type: 'mixedWeights'}]);
 });
 
-t.test('a whole answer that no run explains', async t => {
-	t.match(checkHistory(historyOf(published, started, ended(whole))), [{type: 'mixedWeights'}]);
+t.test('a complete answer without a run', async t => {
+	t.match(checkHistory(historyOf(published, started, ended(complete))), [{type: 'mixedWeights'}]);
 });
 
-t.test('a fault on another node does not excuse a cut', async t => {
+t.test('a fault on another node does not excuse a broken connection', async t => {
 	const events = historyOf(started, run, {...drain, cause: 'stop'}, {...fault, nodeIds: ['h2']}, ended({type: 'cut'}));
 	t.match(checkHistory(events), [{type: 'cutByPlannedStop'}]);
 });
--- a/packages/test-support/test/free-addresses.test.ts
+++ b/packages/test-support/test/free-addresses.test.ts
@@ -4,15 +4,15 @@
 import t from 'tap';
 import {freeAddresses} from '@bitternpaddle/test-support';
 
-// A socket that only sends datagrams gets such a port on every IP number, whichever process opens it.
-t.test('ports that are given out are none that the system chooses for others', async t => {
+// A socket that only sends datagrams gets an ephemeral port on every IP address, whichever process opens it.
+t.test('allocated ports are not ephemeral ports', async t => {
 	const [lowest] = readFileSync('/proc/sys/net/ipv4/ip_local_port_range', 'utf8').trim().split(/\s+/v).map(Number);
 	const ports = (await freeAddresses(5)).map(address => parseAddress(address).port);
 	t.ok(ports.every(port => port < lowest!), `${ports.join(', ')} below ${lowest}`);
 	t.equal(new Set(ports).size, 5);
 });
 
-t.test('a port that is taken for datagrams is passed over', async t => {
+t.test('a port that is taken for datagrams is skipped', async t => {
 	const [before] = await freeAddresses(1);
 	const taken = parseAddress(before!).port + 1;
 	const socket = dgram.createSocket('udp4');
--- a/packages/test-support/test/replay-trace.test.ts
+++ b/packages/test-support/test/replay-trace.test.ts
@@ -3,22 +3,22 @@
 	parseTrace, replayTrace, type TraceTarget,
 } from '@bitternpaddle/test-support';
 
-const nothing = async (): Promise<void> => undefined;
+const doNothing = async (): Promise<void> => undefined;
 
-/** A system that accepts everything, answers by `pitch-desk:v1`, and has run each key twice. */
+/** A system that accepts everything, answers with `pitch-desk:v1`, and has run each key twice. */
 const target: TraceTarget = {
-	operator: async () => 'accepted', version: async () => 'accepted', await: nothing, calls: async ({count}) => Array.from({length: count}, () => 'answered pitch-desk:v1'),
-	booking: async () => 'answered', runs: () => 2, fault: nothing, serviceFault: () => undefined,
+	operator: async () => 'accepted', version: async () => 'accepted', await: doNothing, calls: async ({count}) => Array.from({length: count}, () => 'answered pitch-desk:v1'),
+	booking: async () => 'answered', runs: () => 2, fault: doNothing, serviceFault: () => undefined,
 };
 
 const stepsOf = (...steps: object[]) => parseTrace(steps.map(step => JSON.stringify(step)).join('\n'));
 
-t.test('outcomes as stated give no difference', async t => {
+t.test('expected outcomes give no difference', async t => {
 	const steps = stepsOf({type: 'operator', line: 'create model a', outcome: 'accepted'}, {type: 'runs', key: 'k', count: 2});
 	t.same(await replayTrace(steps, target), []);
 });
 
-t.test('each other outcome is told, with its line', async t => {
+t.test('each unexpected outcome is reported with its line number', async t => {
 	const steps = stepsOf(
 		{type: 'operator', line: 'create model a', outcome: 'refused'},
 		{
@@ -33,6 +33,6 @@
 	]);
 });
 
-t.test('a line that is no step is an error', async t => {
+t.test('a line that is not a valid step is an error', async t => {
 	t.throws(() => stepsOf({type: 'operator', line: 'create model a'}));
 });
--- a/test/bad-input.test.ts
+++ b/test/bad-input.test.ts
@@ -30,11 +30,11 @@
 ];
 
 const assertAlive = async (t: Test, name: string, address: string): Promise<void> => {
-	t.match(await sendRaw(address, ['GET /readyz HTTP/1.1\r\nhost: test\r\nconnection: close\r\n\r\n']), {status: 200}, `${name} still serves`);
+	t.match(await sendRaw(address, ['GET /readyz HTTP/1.1\r\nhost: test\r\nconnection: close\r\n\r\n']), {status: 200}, `${name} is still serving`);
 };
 
-// What arrives is no HTTP, or too much of it. The sender is told what is wrong
-// in the errors' own shape, its connection is closed, and the next one is served.
+// The data received is not HTTP, or exceeds a limit. The sender gets an error in
+// the usual format, its connection is closed, and the next one is served.
 t.test('malformed HTTP', async t => {
 	const heads: Array<[string, string, number, RegExp]> = [
 		['no HTTP', 'hello\r\n\r\n', 400, /this is not an HTTP request/v],
@@ -102,8 +102,8 @@
 	}
 });
 
-// A sender that trickles its head or its body would hold a connection for ever.
-// It is told that it took too long, and its connection is closed.
+// A sender that trickles its headers or its body would occupy a connection forever.
+// It gets a timeout error, and its connection is closed.
 t.test('slow senders', async t => {
 	const server = await createHttpServer({
 		listen: '127.0.0.1:0', limits: {headersTimeoutMs: 200, requestTimeoutMs: 400},
@@ -121,10 +121,10 @@
 	t.match(await sendRaw(server.address, [chunked, '7d0\r\n', 'a'.repeat(2000), '\r\n']), {status: 413}, 'chunks without end');
 });
 
-// A caller sends a whole request and rubbish right behind it. The answer that
-// is under way must not get the error's bytes into its middle: the caller sees
-// a cut, never a wrong answer.
-t.test('rubbish behind a request does not get into its answer', async t => {
+// A caller sends a complete request followed by invalid data. The error must not
+// be written into the response that is being sent: the caller sees the connection
+// close, never a corrupted response.
+t.test('invalid data after a request does not corrupt its response', async t => {
 	const server = await createHttpServer({
 		listen: '127.0.0.1:0',
 		async handler(request, response) {
@@ -167,7 +167,7 @@
 	}
 
 	const client = {address: cluster.entries[0]!.address, token: cluster.adminToken};
-	t.same((await sendLine({...client, line: 'show teams'})).body.rows?.map(({team}) => team), ['marshals'], 'nothing was lost or made');
+	t.same((await sendLine({...client, line: 'show teams'})).body.rows?.map(({team}) => team), ['marshals'], 'no team was lost or created');
 });
 
 t.test(`random manifests, seed ${seed}`, async t => {
@@ -181,7 +181,7 @@
 		changed[position] = (changed[position]! + flip) % 256;
 		return parseManifest(new TextDecoder().decode(changed), id).isLeft();
 	}), {seed, numRuns: 2000});
-	t.pass('no other text passes for the manifest');
+	t.pass('no other text is accepted as the manifest');
 });
 
 t.test(`random lines of the language, seed ${seed}`, async t => {
@@ -191,5 +191,5 @@
 		parseStatement(text);
 		completeLine(text);
 	}), {seed, numRuns: 3000});
-	t.pass('neither the parser nor completion throws');
+	t.pass('neither the parser nor the completion throws');
 });
--- a/test/burn-fleet.test.ts
+++ b/test/burn-fleet.test.ts
@@ -46,7 +46,7 @@
 	return server.address;
 };
 
-const serveOddly = async (t: Test, handler: http.RequestListener): Promise<string> => {
+const serveRaw = async (t: Test, handler: http.RequestListener): Promise<string> => {
 	const server = http.createServer(handler);
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
@@ -63,31 +63,31 @@
 }, options);
 
 const collect = async (peers: ReturnType<typeof createEntryPeers>): Promise<BurnReport> => {
-	const heard: BurnAnswer[] = [];
+	const received: BurnAnswer[] = [];
 	const missingEntries = await peers.burn('token', nowMs, async answer => {
-		heard.push(answer);
+		received.push(answer);
 	});
 	return buildBurnReport({
-		nowMs, answers: heard, missingEntries, objectives: new Map(),
+		nowMs, answers: received, missingEntries, objectives: new Map(),
 	});
 };
 
-// 330 entries on loopback. In mid-report some are gone, one never answers, one
-// sends a byte now and then for ever, one is cut, one sends nonsense. The report
-// counts all that answered and names the others: it neither fails nor leaves
-// anybody out without a word.
+// 330 entries on loopback. During the report two are down, one never responds, one
+// sends a byte at a time forever, one closes the connection, one sends an invalid
+// response. The report counts all that responded and names the others: it neither
+// fails nor omits an entry silently.
 t.test('a report over 330 entries of which some are lost', {timeout: 120_000}, async t => {
 	const addresses = new Map<string, string>();
 	for (const answer of answers) {
 		addresses.set(answer.entryId, await serve(t, answer));
 	}
 
-	const gone = await createHttpServer({listen: '127.0.0.1:0', handler: async () => undefined});
-	gone.destroy();
-	addresses.set('entry-7', gone.address);
-	addresses.set('entry-8', gone.address);
-	addresses.set('entry-100', await serveOddly(t, () => undefined));
-	addresses.set('entry-101', await serveOddly(t, (_request, response) => {
+	const closedServer = await createHttpServer({listen: '127.0.0.1:0', handler: async () => undefined});
+	closedServer.destroy();
+	addresses.set('entry-7', closedServer.address);
+	addresses.set('entry-8', closedServer.address);
+	addresses.set('entry-100', await serveRaw(t, () => undefined));
+	addresses.set('entry-101', await serveRaw(t, (_request, response) => {
 		response.writeHead(200);
 		const timer = setInterval(() => {
 			response.write(' ');
@@ -96,14 +96,14 @@
 			clearInterval(timer);
 		});
 	}));
-	addresses.set('entry-102', await serveOddly(t, (_request, response) => {
+	addresses.set('entry-102', await serveRaw(t, (_request, response) => {
 		response.writeHead(200, {'content-length': 1000});
 		response.write('{');
 		setTimeout(() => {
 			response.destroy();
 		}, 50);
 	}));
-	addresses.set('entry-103', await serveOddly(t, (_request, response) => {
+	addresses.set('entry-103', await serveRaw(t, (_request, response) => {
 		response.end('{"jsonrpc":"2.0","id":1,"result":{"entryId":"entry-103","series":7}}');
 	}));
 	const lost = [7, 8, 100, 101, 102, 103];
@@ -118,10 +118,10 @@
 	t.match(renderBurnText(report), /NOT HEARD, so not counted: entry-100, entry-101, /v);
 });
 
-// All entries are slow. The operator's program gives up after 30 s; the report
-// ends before, with what there is, and names the entries that it did not reach.
-t.test('a report ends in time and names whom it did not reach', async t => {
-	const silent = await serveOddly(t, () => undefined);
+// All entries are slow. The operator's program times out after 30 s; the report
+// ends before that with the counts that it has, and names the entries without a response.
+t.test('a report ends in time and names the entries that it did not reach', async t => {
+	const silent = await serveRaw(t, () => undefined);
 	const addresses = new Map(Array.from({length: 60}, (_, index) => [`entry-${index}`, silent]));
 	addresses.set('entry-0', await serve(t, answers[0]!));
 	const report = await collect(peersOf(addresses, {
@@ -131,34 +131,34 @@
 	t.equal(report.missingEntries.length, 59);
 });
 
-// The answers of hundreds of entries never lie in memory together: a lane asks
-// the next entry when its last answer has been taken.
-t.test('no more answers are held than there are lanes', async t => {
+// The responses of hundreds of entries must not be in memory at the same time: a
+// lane requests the next entry's counts after its last response has been processed.
+t.test('no more responses are held than there are lanes', async t => {
 	const addresses = new Map<string, string>();
 	for (const answer of answers.slice(0, 40)) {
 		addresses.set(answer.entryId, await serve(t, answer));
 	}
 
 	let held = 0;
-	let mostHeld = 0;
+	let maxHeld = 0;
 	await peersOf(addresses, {lanes: 4}).burn('token', nowMs, async () => {
 		held++;
-		mostHeld = Math.max(mostHeld, held);
+		maxHeld = Math.max(maxHeld, held);
 		await new Promise(resolve => {
 			setTimeout(resolve, 5);
 		});
 		held--;
 	});
-	t.ok(mostHeld <= 4, `${mostHeld} at once`);
+	t.ok(maxHeld <= 4, `${maxHeld} at the same time`);
 });
 
-// Entries' clocks differ by seconds, around the turn of a minute, of ten minutes
-// and of an hour. No request is lost or counted twice; one may stand in the
-// bucket beside its own, which only the edge of a window can show.
+// The clocks of entries differ by seconds, around the start of a minute, of ten
+// minutes and of an hour. No request is lost or counted twice; one may be counted in
+// the adjacent bucket, which only shows at the edge of a window.
 t.test('clocks that differ by seconds', async t => {
 	const offsetsMs = [-7000, -1000, 0, 1000, 7000];
-	const turnMs = Date.UTC(2026, 5, 4, 12);
-	for (const askedAtMs of [turnMs + 500, turnMs + 30_000, turnMs - 500]) {
+	const boundaryMs = Date.UTC(2026, 5, 4, 12);
+	for (const askedAtMs of [boundaryMs + 500, boundaryMs + 30_000, boundaryMs - 500]) {
 		const skewed = offsetsMs.map((offsetMs, index) => {
 			const counter = createBurnCounter();
 			for (let second = 240; second >= 1; second--) {
@@ -186,7 +186,7 @@
 	const merge = createBurnMerge();
 	for (const answer of answers) {
 		for (const _step of addBurnAnswer(merge, answer)) {
-			// Nothing else waits here.
+			// No other work has to run between the steps.
 		}
 	}
 
--- a/test/burn-report.test.ts
+++ b/test/burn-report.test.ts
@@ -8,11 +8,11 @@
 import {testFolder} from '@bitternpaddle/test-support';
 import {runProgram} from './support/run-program.js';
 
-// Callers ask through two entries; two bookings go to a ledger whose answers
-// are cut. One report, asked of one entry, must count what both saw: without
-// the merge an operator would see a share of the burn that depends on which
-// entry the balancer gave.
-t.test('one report counts what both entries saw', async t => {
+// Callers send requests through two entries; two bookings go to a ledger that
+// closes the connection without a response. A report from one entry must include
+// the counts of both: without the merge an operator would see a part of the burn
+// that depends on the entry that the load balancer chose.
+t.test('one report includes the counts of both entries', async t => {
 	const cluster = await createDevCluster({engines: 2, entries: 2});
 	t.teardown(async () => cluster.close());
 	const client = {address: cluster.entries[0]!.address, token: cluster.adminToken};
@@ -31,7 +31,7 @@
 
 	t.equal((await sendLine({...client, line: 'set objective for service baker whole 99% first token 95% within 9 ms'})).body.message, 'no service baker');
 	await waitUntil('two replicas ready', async () => (await sendLine({...client, line: 'show replicas where ready = true'})).body.rows?.length === 2);
-	await waitUntil('every host is at the revision', async () => (await sendLine({...client, line: 'show revision'})).body.rows?.[0]?.missing === '');
+	await waitUntil('the revision is in force on all hosts', async () => (await sendLine({...client, line: 'show revision'})).body.rows?.[0]?.missing === '');
 	for (let index = 0; index < 10; index++) {
 		const answer = await postJson({
 			address: cluster.entries[index % 2]!.address, token: 'marshals-key', path: '/v1/chat/completions', body: {model: 'pitch-desk', stream: true, messages: [{role: 'user', content: 'hello'}]},
@@ -70,7 +70,7 @@
 		{
 			serviceId: 'ledger', teamId: 'marshals', objective: 99.9, whole: {bad: 2, total: 2}, timed: {total: 0},
 		},
-	], 'and a request for a model that does not exist counts nowhere');
+	], 'and a request for a model that does not exist is not counted');
 
 	const file = path.join(testFolder(t), 'burn.html');
 	t.equal((await runProgram(['report', 'burn', ...flags, '--output', 'html', '--out', file])).code, 0);
@@ -84,5 +84,5 @@
 			jsonrpc: '2.0', id: 1, method: 'entry.burn', params: {token: 'marshals-key', nowMs: Date.now()},
 		},
 	});
-	t.match(JSON.parse(rpc.text), {error: {code: 1004}}, 'a caller is not told what others ask');
+	t.match(JSON.parse(rpc.text), {error: {code: 1004}}, 'a caller gets no information on the requests of others');
 });
--- a/test/claims.test.ts
+++ b/test/claims.test.ts
@@ -7,8 +7,8 @@
 
 const bookingBody = {pitch: 12};
 
-/** Leaves the claim that an entry leaves which dies right after it. */
-const leaveClaim = async (cluster: RequestCluster, key: string): Promise<void> => {
+/** Writes a claim as an entry does that is killed right after it. */
+const writeAbandonedClaim = async (cluster: RequestCluster, key: string): Promise<void> => {
 	const {agent, relay} = cluster.ledgers[0]!;
 	await callRpc({
 		address: cluster.controls[0]!.address, method: 'control.propose', timeoutMs: 5000, params: {
@@ -33,25 +33,25 @@
 	const {endpoint, relay} = cluster.ledgers[0]!;
 	const runs = (key: string): number => endpoint.runsPerKey.get(key) ?? 0;
 
-	// The first entry claims the key and dies before it dispatches. The caller
-	// resends through another entry. It must neither be told "in progress" for
-	// ever nor "may have run": the door says that nothing came, so it runs, once.
-	await t.test('an entry dies between claim and dispatch', async t => {
-		await leaveClaim(cluster, 'early');
+	// The first entry claims the key and is killed before it dispatches. The caller
+	// resends through another entry. It must get neither "in progress" forever nor
+	// "may have run": the request gate reports that nothing arrived, so it runs, once.
+	await t.test('an entry is killed between claim and dispatch', async t => {
+		await writeAbandonedClaim(cluster, 'early');
 		const answer = await cluster.book('early');
 		t.equal(answer.status, 200);
 		t.equal(runs('early'), 1);
 	});
 
-	// The ledger works slowly; the first entry dies while it waits. A resend
-	// through another entry is told that the call is in progress, and after the
-	// ledger has answered it gets that very answer. The booking ran once.
-	await t.test('an entry dies between dispatch and outcome', async t => {
+	// The ledger is slow; the first entry is killed while it waits. A resend through
+	// another entry gets "in progress", and after the ledger has answered it gets
+	// exactly that answer. The booking ran once.
+	await t.test('an entry is killed between dispatch and outcome', async t => {
 		endpoint.faults.stallMs = 800;
 		const lost = cluster.book('middle', {entry: 0}).catch(() => null);
 		await waitUntil('the booking runs', () => runs('middle') === 1);
 		await cluster.entries[0]!.kill();
-		t.equal(await lost, null, 'the first caller lost its answer');
+		t.equal(await lost, null, 'the first caller lost its response');
 		const early = await cluster.book('middle', {entry: 1});
 		t.equal(early.status, 409);
 		t.equal(early.headers['retry-after'], '1');
@@ -64,9 +64,10 @@
 		endpoint.faults.stallMs = 0;
 	});
 
-	// The outcome is written down and the answer is lost on its way. The resend
-	// gets the same answer, byte for byte; another body under the key is refused.
-	await t.test('an entry dies after the outcome', async t => {
+	// The outcome is recorded and the answer is lost on its way to the caller. The
+	// resend gets the same answer, byte for byte; a different body with the same key
+	// is refused.
+	await t.test('an entry is killed after the outcome', async t => {
 		const first = await cluster.book('late', {entry: 1});
 		const second = await cluster.book('late', {entry: 2});
 		t.equal(second.text, first.text);
@@ -75,10 +76,10 @@
 		t.equal(runs('late'), 1);
 	});
 
-	// The connection goes silent for good before the booking arrives. The door,
-	// asked on a new connection, bars it; it is sent anew, and the lost bytes
-	// never count.
-	await t.test('the connection goes silent before the booking arrives', async t => {
+	// The connection permanently stops delivering data before the booking arrives. The
+	// request gate, contacted on a new connection, bars it; it is sent again, and the
+	// lost bytes have no effect.
+	await t.test('the connection stalls before the booking arrives', async t => {
 		await cluster.book('warm-up', {entry: 1});
 		relay.silenceOpenConnections();
 		const answer = await cluster.book('silent', {entry: 1});
@@ -86,9 +87,9 @@
 		t.equal(runs('silent'), 1);
 	});
 
-	// The booking runs, its answer is held up, and the connection goes silent.
-	// The caller still gets the answer to the one run.
-	await t.test('the connection goes silent while the booking runs', async t => {
+	// The booking runs, its answer is delayed, and the connection stalls. The caller
+	// still gets the answer of the only run.
+	await t.test('the connection stalls while the booking runs', async t => {
 		endpoint.faults.stallMs = 500;
 		const booked = cluster.book('held', {entry: 1});
 		await waitUntil('the booking runs', () => runs('held') === 1);
@@ -98,9 +99,8 @@
 		endpoint.faults.stallMs = 0;
 	});
 
-	// The caller's deadline passes while the booking runs. It is told at once that
-	// the booking may have run. The run goes on, and the
-	// resend gets its outcome.
+	// The caller's deadline passes while the booking runs. The caller immediately gets
+	// "may have run". The run continues, and the resend gets its outcome.
 	await t.test('the deadline passes while the booking runs', async t => {
 		endpoint.faults.stallMs = 500;
 		await cluster.book('deadline', {entry: 1, headers: {'x-bitternpaddle-deadline-ms': '200'}}).then(answer => {
@@ -111,9 +111,9 @@
 		endpoint.faults.stallMs = 0;
 	});
 
-	// The ledger runs the booking and never answers, and the agent is restarted:
-	// nobody can know the outcome any more. Every caller is told "may have run",
-	// at once, and the booking never runs again.
+	// The ledger runs the booking and never answers, and the agent is restarted: the
+	// outcome can no longer be determined. Every caller immediately gets "may have
+	// run", and the booking never runs again.
 	await t.test('the agent is restarted while the booking runs', async t => {
 		endpoint.faults.isSilent = true;
 		const booked = cluster.book('lost', {entry: 1});
@@ -131,9 +131,9 @@
 	});
 });
 
-// The control leader dies while a booking runs. Its claim is in the log of the
-// others: a resend through another entry finds it under the new leader, and the
-// outcome is the one of the only run.
+// The leader of the control hosts is lost while a booking runs. Its claim is in
+// the log of the others: a resend through another entry finds it under the new
+// leader, and gets the outcome of the only run.
 t.test('control fails over while a booking runs', async t => {
 	const cluster = await createRequestCluster(t, {ledgers: 1, entries: 2, controls: 3});
 	const {endpoint} = cluster.ledgers[0]!;
--- a/test/configuration-peers.test.ts
+++ b/test/configuration-peers.test.ts
@@ -20,8 +20,8 @@
 	return node.address;
 };
 
-/** Accepts connections and never says a word. */
-const startSilent = async (t: Test): Promise<string> => {
+/** Accepts connections and never sends data. */
+const startUnresponsive = async (t: Test): Promise<string> => {
 	const server: Server = createServer(socket => {
 		t.teardown(() => socket.destroy());
 	});
@@ -52,48 +52,49 @@
 	return result !== null;
 });
 
-// A host's copy is wrong under a right revision (a fault in its memory, say). A
-// request comes from an entry whose copy is right. The host must not serve it:
-// the caller's request is refused as not run and tried elsewhere, and the host
-// fetches its configuration anew.
-t.test('equal revisions with unequal digests: refused, and healed', async t => {
+// A host's copy of the configuration is corrupted while its revision is right (for
+// example by a memory fault). An entry whose copy is right sends a request. The host
+// must not serve it: the request is refused as not run and retried elsewhere, and
+// the host fetches its configuration again.
+t.test('equal revisions with different digests: the request is refused and the copy is repaired', async t => {
 	const control = await startControl(t);
 	const entry = startHost(t, 'entry', [control]);
 	const host = startHost(t, 'host', [control]);
 	await create(entry, 'one');
-	// The system's name is a change too, and may be the last one here.
-	await waitUntil('both hold it', () => entry.hasLease() && host.hasLease() && host.catalog().revision === entry.catalog().revision && host.catalog().systemId !== undefined);
+	// The name of the system is a change too, and may arrive last.
+	await waitUntil('both have it', () => entry.hasLease() && host.hasLease() && host.catalog().revision === entry.catalog().revision && host.catalog().systemId !== undefined);
 	const peers = createPeers(host);
 	const {digest} = host.catalog();
 	t.equal(await peers.meet(headersOf(entry), 1000), null);
 	host.catalog().digest = 'damaged';
 	t.match(await peers.meet(headersOf(entry), 1000), /different configurations/v);
-	t.notOk(host.hasLease(), 'no work until the copy is here again');
+	t.notOk(host.hasLease(), 'no work until the copy has been fetched again');
 	await waitUntil('the copy is right again', () => host.hasLease() && host.catalog().digest === digest);
 	t.equal(await peers.meet(headersOf(entry), 1000), null);
 });
 
-// A host's connection to control has gone silent, so it does not learn of a
-// change. An entry that knows it sends a request: the host catches up through
-// another control host before it serves, within the time that a door waits.
-t.test('a host whose watch is silent catches up when a request shows that it is behind', async t => {
+// A host's connection to a control host no longer delivers data, so it does not
+// receive a change. An entry that has the change sends a request: the host catches
+// up through another control host before it serves, within the time that a request
+// gate waits.
+t.test('a host whose watch has stalled catches up when a request shows that it is behind', async t => {
 	const control = await startControl(t);
-	const silent = await startSilent(t);
-	const hostId = Array.from({length: 100}, (_, index) => `host-${index}`).find(id => rendezvousOrder(id, [silent, control])[0] === silent)!;
+	const unresponsive = await startUnresponsive(t);
+	const hostId = Array.from({length: 100}, (_, index) => `host-${index}`).find(id => rendezvousOrder(id, [unresponsive, control])[0] === unresponsive)!;
 	const entry = startHost(t, 'entry', [control]);
 	await create(entry, 'one');
-	await waitUntil('the entry holds it', () => entry.catalog().revision > 0);
-	const host = startHost(t, hostId, [silent, control]);
+	await waitUntil('the entry has it', () => entry.catalog().revision > 0);
+	const host = startHost(t, hostId, [unresponsive, control]);
 	t.equal(host.catalog().revision, 0);
 	t.equal(await createPeers(host).meet(headersOf(entry), 2000), null);
 	t.equal(host.catalog().revision, entry.catalog().revision);
 });
 
-// A host's control host is gone, and another system's control host comes up at
-// the same address, at a higher revision. The host must not act on that
-// system's configuration, nor be counted in it, nor send it an order: its
-// callers would be answered by a state that nobody accepted for it. It goes on
-// with its own once its own control host is back.
+// A host's control host is down, and another system's control host starts at the
+// same address, with a higher revision. The host must not apply that system's
+// configuration, nor be counted as its member, nor submit changes to it: requests
+// would be served by a configuration that was never accepted in the host's own
+// system. The host resumes when its own control host is back.
 t.test('another system at the address of a control host is refused', async t => {
 	const folder = t.testdir({own: {}, other: {}});
 	const [address] = await freeAddresses(1);
@@ -105,20 +106,20 @@
 		},
 	});
 	await create(host, 'one');
-	await waitUntil('the host holds it', () => 'one' in host.catalog().models && host.catalog().systemId !== undefined);
+	await waitUntil('the host has it', () => 'one' in host.catalog().models && host.catalog().systemId !== undefined);
 	await own.close();
 
 	const other = await startControlAt(address!, path.join(folder, 'other'));
-	const stranger = startHost(t, 'stranger', [address!]);
+	const foreignHost = startHost(t, 'stranger', [address!]);
 	for (const id of ['two', 'three', 'four']) {
-		await create(stranger, id);
+		await create(foreignHost, id);
 	}
 
 	await waitUntil('the host was refused', () => events.includes('BP3008'));
 	await t.rejects(host.propose({commandId: null, ifRevision: null, change: {type: 'createModel', modelId: modelId('five')}}), /belongs to system/v);
-	await waitUntil('its lease is over', () => !host.hasLease());
+	await waitUntil('its lease has expired', () => !host.hasLease());
 	t.strictSame(Object.keys(host.catalog().models), ['one']);
-	const {rows} = await stranger.query(everyHost);
+	const {rows} = await foreignHost.query(everyHost);
 	t.strictSame(rows.map(row => row.host), ['stranger']);
 	await other.close();
 
--- a/test/data-folders.test.ts
+++ b/test/data-folders.test.ts
@@ -40,7 +40,7 @@
 const assertModels = async (t: Test, folder: string, names: readonly string[]): Promise<void> => {
 	const node = await startControl(folder);
 	t.teardown(async () => node.close());
-	await waitUntil('it leads', () => node.isLeader());
+	await waitUntil('it is the leader', () => node.isLeader());
 	await waitUntil('it has applied its log', async () => (await modelsOf(node)).length === names.length);
 	t.same(await modelsOf(node), names);
 };
@@ -50,21 +50,21 @@
 	return path.join(folder, names.filter(name => name.startsWith('log-')).toSorted().at(-1)!);
 };
 
-// The data folder of a control host is not what it should be. The host refuses
-// to start, says which path and what to do, and leaves the folder as it was:
-// with the cause mended it starts and has everything.
+// The data folder of a control host belongs to another host, is damaged or has a
+// newer format. The host refuses to start, reports the path and what to do, and
+// leaves the folder as it was: with the cause fixed it starts with all its data.
 t.test('a control host refuses a folder that it must not use', async t => {
 	const folder = path.join(testFolder(t), 'control');
 	await fillFolder(folder, ['a', 'b', 'c'], {snapshotEntries: 2});
 	const owner = path.join(folder, 'owner.json');
 	const snapshot = path.join(folder, 'snapshot.json');
 	const segment = await segmentOf(folder);
-	const mine = await readFile(owner, 'utf8');
+	const ownOwnerFile = await readFile(owner, 'utf8');
 	const newer = encodeFrame([{type: 'lateRecord'} as unknown as LogRecord]);
 	const cases: Array<[string, string, (filePath: string) => Promise<void>, RegExp]> = [
-		['another host\'s', owner, async filePath => writeFile(filePath, mine.replace('"c1"', '"c2"')), /belongs to the control host c2, this is the control host c1; give each host/v],
-		['an agent\'s', owner, async filePath => writeFile(filePath, mine.replace('"control"', '"agent"')), /belongs to the agent host c1/v],
-		['of a newer format', owner, async filePath => writeFile(filePath, mine.replace('"format":1', '"format":2')), /owner\.json is of format 2, [\s\S]*; start the newer program/v],
+		['of another host', owner, async filePath => writeFile(filePath, ownOwnerFile.replace('"c1"', '"c2"')), /belongs to the control host c2, this is the control host c1; give each host/v],
+		['of an agent', owner, async filePath => writeFile(filePath, ownOwnerFile.replace('"control"', '"agent"')), /belongs to the agent host c1/v],
+		['of a newer format', owner, async filePath => writeFile(filePath, ownOwnerFile.replace('"format":1', '"format":2')), /owner\.json is of format 2, [\s\S]*; start the newer program/v],
 		['with a damaged owner', owner, async filePath => truncate(filePath, 5), /owner\.json is damaged; move the folder aside/v],
 		['with a truncated snapshot', snapshot, async filePath => truncate(filePath, 40), /control\/snapshot\.json is damaged [\s\S]*restore this host from its peers/v],
 		['with a foreign snapshot', snapshot, async filePath => writeFile(filePath, '{"hello":1}'), /control\/snapshot\.json is damaged/v],
@@ -82,17 +82,17 @@
 	await assertModels(t, folder, ['a', 'b', 'c']);
 });
 
-t.test('files of others in the folder are left alone', async t => {
+t.test('unknown files in the folder are kept', async t => {
 	const folder = path.join(testFolder(t), 'control');
 	await fillFolder(folder, ['a']);
 	await writeFile(path.join(folder, 'notes.txt'), 'mine');
 	await rm(path.join(folder, 'owner.json'));
 	await assertModels(t, folder, ['a']);
 	t.equal(await readFile(path.join(folder, 'notes.txt'), 'utf8'), 'mine');
-	t.match(JSON.parse(await readFile(path.join(folder, 'owner.json'), 'utf8')), {hostId: 'c1'}, 'a folder from before owners were noted is taken over');
+	t.match(JSON.parse(await readFile(path.join(folder, 'owner.json'), 'utf8')), {hostId: 'c1'}, 'a folder without an owner file, as earlier versions wrote it, is adopted');
 });
 
-t.test('something of another kind lies in the way', async t => {
+t.test('a file is in the place of a folder, or a folder in the place of a file', async t => {
 	const root = testFolder(t);
 	await writeFile(path.join(root, 'file'), '');
 	await t.rejects(startControl(path.join(root, 'file')), {message: /file: a file lies where a folder must be; move it away or give another --data-folder/v});
@@ -101,7 +101,7 @@
 	await t.rejects(startControl(path.join(root, 'control')), {message: /a folder lies where a file must be/v});
 });
 
-t.test('errors of the file system say what to do', async t => {
+t.test('errors of the file system explain what to do', async t => {
 	const errorOf = (code: string): Error => Object.assign(new Error(`${code}: as the system says it`), {code, path: '/data/x'});
 	t.match(explainFolderError(errorOf('EACCES'), '/data').message, '/data/x: this process may not use it; give it to the user that runs the process (EACCES)');
 	t.match(explainFolderError(errorOf('EROFS'), '/data').message, 'the disk is read-only');
@@ -110,17 +110,17 @@
 	t.equal(explainFolderError(other, '/data'), other);
 });
 
-/** Every write into it fails, as on a full disk. */
+/** Every write to this device fails, as on a full disk. */
 const fullDevice = '/dev/full';
 
 // The disk is full when the log is to be replaced by a snapshot. The host stops
-// and says why. What it had accepted is on the disk: with room again it starts
-// and has all of it.
+// and reports why. What it accepted is on the disk: with free space again it
+// starts and has all of it.
 t.test('a full disk stops a control host and loses nothing', async t => {
 	const folder = path.join(testFolder(t), 'control');
 	await mkdir(folder);
-	const trap = path.join(folder, 'snapshot.json.new');
-	await symlink(fullDevice, trap);
+	const snapshotLink = path.join(folder, 'snapshot.json.new');
+	await symlink(fullDevice, snapshotLink);
 	let failure: Error | undefined;
 	const node = await startControl(folder, {
 		snapshotEntries: 6,
@@ -139,22 +139,22 @@
 		return failure !== undefined;
 	});
 	t.match(failure!.message, `${folder}: the disk is full; free space and start again, nothing that was accepted is lost (ENOSPC)`);
-	t.notOk(await createModel(node, 'late'), 'it takes nothing any more');
+	t.notOk(await createModel(node, 'late'), 'it accepts nothing any more');
 	await node.close();
-	await rm(trap);
-	const again = await startControl(folder);
-	t.teardown(async () => again.close());
-	await waitUntil('it leads', () => again.isLeader());
-	await waitUntil('it has what was accepted', async () => {
-		const models = await modelsOf(again);
+	await rm(snapshotLink);
+	const restarted = await startControl(folder);
+	t.teardown(async () => restarted.close());
+	await waitUntil('it is the leader', () => restarted.isLeader());
+	await waitUntil('it has every accepted change', async () => {
+		const models = await modelsOf(restarted);
 		return accepted.every(name => models.includes(name));
 	});
 	t.ok(accepted.length > 0, `${accepted.length} models`);
 });
 
-// The disk becomes full before the first voters have found each other. The host
-// cannot note who they are, so it must not vote: it stops and says why, instead
-// of ending by an error that nobody catches.
+// The disk becomes full before the first voters have formed their group. The host
+// cannot record the voters, so it must not vote: it stops and reports why, instead
+// of exiting with an uncaught error.
 t.test('a full disk stops a control host that is forming its group', async t => {
 	const folder = t.testdir({c1: {}, c2: {}});
 	const members = new Map<string, string>();
@@ -172,12 +172,12 @@
 	t.teardown(async () => second.close());
 	await waitUntil('the first host has stopped', () => failure !== undefined);
 	t.match(failure!.message, /the disk is full/v);
-	t.notOk(second.isLeader(), 'no group without it');
+	t.notOk(second.isLeader(), 'no group is formed without it');
 });
 
-// The same at the very start, as a process: the exit code is 1, and the log
-// names the path and what to do.
-t.test('a process that cannot use its folder ends with code 1', async t => {
+// The same when a process starts: the exit code is 1, and the log names the path
+// and what to do.
+t.test('a process that cannot use its folder exits with code 1', async t => {
 	const root = testFolder(t);
 	await mkdir(path.join(root, 'full', 'control'), {recursive: true});
 	await symlink(fullDevice, path.join(root, 'full', 'control', 'log-0000000001.new'));
@@ -218,18 +218,18 @@
 	});
 });
 
-// The disk of an agent is full while it fetches weights. Its process must go on,
-// for requests run there; the operator sees what is wrong, and the host does
-// not pass for ready.
+// The disk of an agent is full while it fetches weights. Its process must continue,
+// since requests run there; the operator sees the error, and the host is not
+// reported as ready.
 t.test('a full disk fails a transfer and not the agent', async t => {
 	const root = testFolder(t);
 	const origin = await createFakeOrigin();
 	const engine = await createFakeEngine();
 	const {manifestId} = await origin.publish(new Uint8Array(200_000).fill(7), 65_536);
 	const folder = path.join(root, 'h1');
-	const leftOver = path.join(folder, `${'0'.repeat(64)}.weights`);
+	const unusedWeights = path.join(folder, `${'0'.repeat(64)}.weights`);
 	await mkdir(folder, {recursive: true});
-	await writeFile(leftOver, 'of no version');
+	await writeFile(unusedWeights, 'of no version');
 	const members = new Map<string, string>();
 	const control = await startControl(path.join(root, 'c1'), {members});
 	const agent = await createAgentNode({
@@ -241,12 +241,12 @@
 		await control.close();
 		await Promise.all([engine.close(), origin.close()]);
 	});
-	const ask = async (subject: string): Promise<Array<Record<string, unknown>>> => callRpc<{rows: Array<Record<string, unknown>>}>({
+	const queryRows = async (subject: string): Promise<Array<Record<string, unknown>>> => callRpc<{rows: Array<Record<string, unknown>>}>({
 		address: control.address, method: 'control.query', params: {show: {type: 'show', subject, where: []}}, timeoutMs: 5000,
 	}).then(({rows}) => rows, () => []);
-	await waitUntil('the agent joined', async () => (await ask('hosts')).some(({host}) => host === 'h1'));
-	// Not before: an agent that starts removes what belongs to no version, some time after it has joined.
-	await waitUntil('what belongs to no version is removed', async () => !(await readdir(folder)).includes(path.basename(leftOver)));
+	await waitUntil('the agent joined', async () => (await queryRows('hosts')).some(({host}) => host === 'h1'));
+	// The fake full disk must not be in place earlier: a starting agent removes files that belong to no version, some time after it has joined.
+	await waitUntil('files that belong to no version are removed', async () => !(await readdir(folder)).includes(path.basename(unusedWeights)));
 	await symlink(fullDevice, path.join(folder, `${manifestId.slice('sha256:'.length)}.weights`));
 	for (const line of [
 		'create model m',
@@ -260,12 +260,12 @@
 		});
 	}
 
-	await waitUntil('the operator sees it', async () => (await ask('transfers')).some(({detail}) => String(detail).includes('cannot be stored: ENOSPC')));
-	t.same((await ask('replicas')).map(({ready}) => ready), [false]);
-	t.equal(engine.heldDigest(), null, 'the engine was not given a part');
+	await waitUntil('the operator sees the error', async () => (await queryRows('transfers')).some(({detail}) => String(detail).includes('cannot be stored: ENOSPC')));
+	t.same((await queryRows('replicas')).map(({ready}) => ready), [false]);
+	t.equal(engine.heldDigest(), null, 'the engine was not told to load an incomplete file');
 });
 
-t.test('a chunk that does not fit is not held', async t => {
+t.test('a chunk that does not fit on the disk is not reported as held', async t => {
 	const folder = testFolder(t);
 	const data = new Uint8Array(1000).fill(7);
 	const manifest = await createManifest([data], {chunkSizeBytes: 1000});
@@ -278,7 +278,7 @@
 	await full.close();
 	await rm(filePath);
 	const store = await openChunkStore({folder, manifestId, manifest});
-	t.ok(await store.put(0, data), 'with room again it is');
+	t.ok(await store.put(0, data), 'with free space it is stored');
 	t.same(store.heldChunks(), [0]);
 	await store.close();
 });
--- a/test/deployment-traces.test.ts
+++ b/test/deployment-traces.test.ts
@@ -7,16 +7,16 @@
 } from '@bitternpaddle/test-support';
 import t from 'tap';
 
-const describe = (outcome: CallOutcome, isTagged: boolean): string => outcome.type === 'answered' && isTagged ? `answered ${outcome.versionId}` : outcome.type;
+const describeOutcome = (outcome: CallOutcome, isTagged: boolean): string => outcome.type === 'answered' && isTagged ? `answered ${outcome.versionId}` : outcome.type;
 
-/** Entries that are up; the balancer leaves out the others. */
+/** Selects one of the running entries, as a load balancer would. */
 const entryAt = (cluster: FailureCluster, position: number) => {
 	const up = cluster.entries.filter(entry => entry.node() !== undefined);
 	const entry = up[position % up.length]!;
 	return {entryId: entry.nodeId, address: entry.node()!.address};
 };
 
-/** Operators resend, under one command id, until they have an answer. */
+/** Resends a command with one command id until it gets a response, as operators do. */
 const order = async (cluster: FailureCluster, line: string, commandId: string): Promise<string> => {
 	let type = 'unknown';
 	await waitUntil(line, async () => {
@@ -44,10 +44,10 @@
 		},
 		async await({line, rows}) {
 			await waitUntil(line, async () => (await queryRows(cluster, line)).length === rows, {timeoutMs: 60_000});
-			// Hosts hear of it a moment after control does.
-			await waitUntil('in force everywhere', async () => (await queryRows(cluster, 'show revision'))[0]?.missing === '');
+			// Hosts receive the change shortly after the control hosts.
+			await waitUntil('in force on all hosts', async () => (await queryRows(cluster, 'show revision'))[0]?.missing === '');
 		},
-		calls: async ({name, team, modelId, count, isStream, tokens, versionId}) => Promise.all(Array.from({length: count}, async (_, position) => describe(await recordCall({
+		calls: async ({name, team, modelId, count, isStream, tokens, versionId}) => Promise.all(Array.from({length: count}, async (_, position) => describeOutcome(await recordCall({
 			...entryAt(cluster, position), history, callId: `${name}-${position}`, token: `${team}-key`,
 			target: {
 				type: 'model', modelId, isStream, maxTokens: tokens,
@@ -88,10 +88,10 @@
 	}
 };
 
-// Each trace is a morning of one deployment at its size, with the latency
-// between its regions on every link: loads, callers of ten teams, bookings that
-// are resent, a second version, drains, stops and kills. Every outcome must be
-// the one that the trace states, and the history must keep every promise.
+// Each trace is a morning of one deployment at full size, with the latency between
+// its regions on every link: loads, callers of ten teams, resent bookings, a second
+// version, drains, stops and kills. Every outcome must be the one that the trace
+// states, and the history must satisfy every invariant.
 for (const [deployment, file] of [
 	[midwayPitchDesk, 'test/traces/midway-pitch-desk.jsonl'],
 	[stationCleaningRouterFleet, 'test/traces/station-cleaning-router-fleet.jsonl'],
--- a/test/docs.test.ts
+++ b/test/docs.test.ts
@@ -15,13 +15,13 @@
 	return new Map(await Promise.all(files.map(async file => [file, await readFile(file, 'utf8')] as const)));
 };
 
-t.test('the pages that follow from the code are as the code makes them (else: npm run reference)', async t => {
+t.test('the generated pages are current (otherwise run: npm run reference)', async t => {
 	for (const [name, text] of Object.entries(referencePages())) {
 		t.equal(await readFile(path.join(folder, name), 'utf8'), text, name);
 	}
 });
 
-/** What the pages may name beyond the two programs: npm's, curl's and git's own words. */
+/** Flags of other programs that the pages may name. */
 const foreignFlags = new Set(['--expose-gc']);
 
 t.test('every flag, variable, event and command in the pages exists', async t => {
@@ -57,7 +57,7 @@
 	t.ok(count >= 10, 'lines were found');
 });
 
-t.test('the page of errors has every type of error, and no other', async t => {
+t.test('the page of errors lists exactly the existing types of errors', async t => {
 	const source = await readFile('packages/protocol/src/http/error-body.ts', 'utf8');
 	const types = /readonly type: (?<types>[^;]+);/v.exec(source)!.groups!.types!.match(/\w+/gv)!;
 	const page = await readFile(`${folder}/errors.md`, 'utf8');
@@ -65,7 +65,7 @@
 	t.same(rows.toSorted(), types.toSorted());
 });
 
-/** Statements in tables and blocks: code that begins with a verb of the language and has no placeholder in capitals. */
+/** Statements in tables and code blocks: code that begins with a verb of the language and contains no placeholder in capitals. */
 t.test('statements in the pages parse', async t => {
 	let count = 0;
 	for (const name of ['migration.md', 'burn.md', 'host-replacement.md', 'errors.md']) {
@@ -79,7 +79,7 @@
 	t.ok(count >= 15, 'statements were found');
 });
 
-t.test('links between pages lead somewhere', async t => {
+t.test('links between pages have existing targets', async t => {
 	for (const [file, text] of await readPages()) {
 		for (const {groups} of text.matchAll(/\]\((?<target>[^\)#:]+)\)/gv)) {
 			await t.resolves(readdir(path.dirname(path.join(path.dirname(file), groups!.target!))).then(async names => {
@@ -92,14 +92,14 @@
 	}
 });
 
-t.test('every page of the folder is reached from the README', async t => {
+t.test('the README links to every page of the folder', async t => {
 	const readme = await readFile('README.md', 'utf8');
 	for (const name of await readdir(folder)) {
 		t.ok(readme.includes(`${folder}/${name}`), name);
 	}
 });
 
-t.test('the README names the version that `npm start` has at its origin', async t => {
+t.test('the README names the version that `npm start` publishes at its origin', async t => {
 	const cluster = await createDevCluster({controls: 1, entries: 1, engines: 0});
 	t.teardown(async () => cluster.close());
 	t.ok((await readFile('README.md', 'utf8')).includes(cluster.manifestIds[0]!));
--- a/test/flood.test.ts
+++ b/test/flood.test.ts
@@ -19,7 +19,7 @@
 
 type Sender = {readonly socket: net.Socket; text(): string; isClosed(): boolean};
 
-/** Opens a connection that stays open until the other side ends it. */
+/** Opens a connection that stays open until the server closes it. */
 const openSender = async (t: Test, address: string, start = '', allowHalfOpen = false): Promise<Sender> => {
 	const [host, port] = address.split(':') as [string, string];
 	const socket = net.connect({host, port: Number(port), allowHalfOpen});
@@ -54,10 +54,10 @@
 
 const refusal = /^HTTP\/1\.1 503 [\s\S]*retry-after: 1\r\n[\s\S]*"type":"not_run","message":"[^"]+","requestId":null,"retryAfterMs":1000/v;
 
-type Counting = {readonly server: HttpServer; readonly runs: string[]; finish(): void};
+type CountingServer = {readonly server: HttpServer; readonly runs: string[]; finish(): void};
 
-/** A server that reads a body, counts it as run, and answers; `/slow` answers at `finish`. */
-const startServer = async (t: Test, limits: ServerLimits): Promise<Counting> => {
+/** Starts a server that reads each body, counts the request as run, and responds; to `/slow` it responds at `finish`. */
+const startServer = async (t: Test, limits: ServerLimits): Promise<CountingServer> => {
 	const runs: string[] = [];
 	let finish = (): void => undefined;
 	const finished = new Promise<void>(resolve => {
@@ -81,24 +81,25 @@
 	return {server, runs, finish};
 };
 
-// A client opens connections by the thousand and sends nothing, or half a head.
-// Callers must not wait until these time out: the longest idle one makes way,
-// and is told that nothing ran, which holds for whatever it was about to send.
-for (const [what, start] of [['idle connections', ''], ['half-sent heads', 'POST / HTTP/1.1\r\nhost: te']] as const) {
-	t.test(`3000 ${what} keep no caller out and stay bounded`, async t => {
+// A client opens thousands of connections and sends nothing, or incomplete headers.
+// Callers must not wait until these time out: the connection that has been idle for
+// the longest is closed with a "not run" response, which is true of any request
+// that its client was about to send.
+for (const [what, start] of [['idle connections', ''], ['incomplete headers', 'POST / HTTP/1.1\r\nhost: te']] as const) {
+	t.test(`3000 ${what} block no caller and stay bounded`, async t => {
 		const {server, runs} = await startServer(t, {maxConnections: 64, headersTimeoutMs: 600_000, requestTimeoutMs: 600_000});
 		const senders = await openSenders(t, server.address, 3000, start);
 		t.match(await sendRaw(server.address, [get], 20_000), {status: 200});
 		const open = (): number => senders.filter(sender => !sender.isClosed()).length;
-		await waitUntil('the rest was closed', () => open() <= 64);
-		t.ok(senders.some(({text}) => refusal.test(text())), 'and told why');
+		await waitUntil('the others were closed', () => open() <= 64);
+		t.ok(senders.some(({text}) => refusal.test(text())), 'with a response that explains why');
 		t.same(runs, ['/ready']);
 	});
 }
 
-// All places carry whole requests. One more caller is refused for certain, and
-// those that run are not touched: they get their answers.
-t.test('running requests go on while more callers are refused', async t => {
+// All connections carry complete requests. Further callers are refused as not run,
+// and the running requests are not affected: they get their responses.
+t.test('running requests continue while more callers are refused', async t => {
 	const {server, runs, finish} = await startServer(t, {maxConnections: 16});
 	const running = await openSenders(t, server.address, 16, `${post(2, '/slow')}{}`);
 	await waitUntil('all run', () => runs.length === 16);
@@ -106,28 +107,29 @@
 		t.match((await sendRaw(server.address, [rawPost({path: '/more', body: '{}'})], 20_000)).text, refusal);
 	}
 
-	t.equal(runs.length, 16, 'what was refused did not run');
+	t.equal(runs.length, 16, 'refused requests did not run');
 	finish();
 	await waitUntil('all are answered', () => running.every(sender => sender.isClosed()));
 	t.ok(running.every(({text}) => text().startsWith('HTTP/1.1 200 ')));
 });
 
-// A connection is kept between two requests and makes way just then. Whatever
-// its client sends behind that is not run, as the answer that it finds says.
-t.test('a kept connection that made way runs nothing any more', async t => {
+// A keep-alive connection is closed by the limit between two requests. Any request
+// that its client sends afterwards is not run, as the response on it states.
+t.test('a keep-alive connection that was closed by the limit runs no further request', async t => {
 	const {server, runs} = await startServer(t, {maxConnections: 16});
-	const kept = await openSender(t, server.address, 'GET /first HTTP/1.1\r\nhost: test\r\n\r\n', true);
-	await waitUntil('it was answered', () => kept.text().includes('"ran":true'));
+	const keepAliveSender = await openSender(t, server.address, 'GET /first HTTP/1.1\r\nhost: test\r\n\r\n', true);
+	await waitUntil('it was answered', () => keepAliveSender.text().includes('"ran":true'));
 	await openSenders(t, server.address, 16);
-	await waitUntil('it made way', () => refusal.test(kept.text().slice(kept.text().indexOf('}') + 1)));
-	kept.socket.end('GET /second HTTP/1.1\r\nhost: test\r\n\r\n');
-	await waitUntil('it was closed', () => kept.isClosed());
+	await waitUntil('it was refused', () => refusal.test(keepAliveSender.text().slice(keepAliveSender.text().indexOf('}') + 1)));
+	keepAliveSender.socket.end('GET /second HTTP/1.1\r\nhost: test\r\n\r\n');
+	await waitUntil('it was closed', () => keepAliveSender.isClosed());
 	t.same(runs, ['/first']);
 });
 
-// Bodies come a byte at a time and fill all places. Each byte shows life, but
-// the request as a whole has its time; until then the oldest one makes way.
-t.test('bodies that come a byte at a time', async t => {
+// Bodies arrive a byte at a time and occupy all connections. Each byte is activity,
+// but the complete request has a time limit; until then the oldest one is refused
+// for a new connection.
+t.test('bodies that arrive a byte at a time', async t => {
 	const {server, runs} = await startServer(t, {maxConnections: 16, headersTimeoutMs: 300, requestTimeoutMs: 600});
 	const senders = await openSenders(t, server.address, 16, post(100_000));
 	const trickle = setInterval(() => {
@@ -141,31 +143,32 @@
 		clearInterval(trickle);
 	});
 	t.match(await sendRaw(server.address, [get], 20_000), {status: 200});
-	await waitUntil('all have an answer', () => senders.every(sender => sender.isClosed()));
+	await waitUntil('all have a response', () => senders.every(sender => sender.isClosed()));
 	t.ok(senders.some(({text}) => text().startsWith('HTTP/1.1 408 ')), 'too slow');
 	t.ok(senders.every(({text}) => text() === '' || /^HTTP\/1\.1 (?:408|503) /v.test(text())));
 	t.same(runs, ['/ready']);
 });
 
-// Senders claim large bodies, send half and wait. What they claim holds nothing;
-// what they sent is bounded: the largest unfinished body is refused, and a
-// caller with a usual request is served at once.
-t.test('large bodies that never end are bounded together', async t => {
+// Senders announce large bodies, send half and wait. The announced size reserves
+// nothing; the bytes sent are bounded: the largest incomplete body is refused, and
+// a caller with a usual request is served at once.
+t.test('the total size of large incomplete bodies is bounded', async t => {
 	const {server, runs} = await startServer(t, {maxBufferedBytes: 200_000});
-	const claims = await openSenders(t, server.address, 50, post(900_000_000));
-	const halves = await openSenders(t, server.address, 20, `${post(60_000)}${'x'.repeat(30_000)}`);
-	await waitUntil('the rest was refused', () => halves.filter(sender => !sender.isClosed()).length <= 6);
-	const refused = halves.filter(sender => sender.isClosed());
+	const announcements = await openSenders(t, server.address, 50, post(900_000_000));
+	const partialBodies = await openSenders(t, server.address, 20, `${post(60_000)}${'x'.repeat(30_000)}`);
+	await waitUntil('the others were refused', () => partialBodies.filter(sender => !sender.isClosed()).length <= 6);
+	const refused = partialBodies.filter(sender => sender.isClosed());
 	t.ok(refused.length >= 14, `${refused.length} were refused`);
 	t.ok(refused.some(({text}) => refusal.test(text()) && text().includes('x-bitternpaddle-verdict: notRun')));
 	t.match(await sendRaw(server.address, [rawPost({path: '/usual', body: 'y'.repeat(1000)})], 20_000), {status: 200});
 	t.same(runs, ['/usual']);
-	t.equal(claims.filter(sender => sender.isClosed()).length, 0, 'claims alone hold nothing');
+	t.equal(announcements.filter(sender => sender.isClosed()).length, 0, 'an announced size alone reserves nothing');
 });
 
-// Running requests hold all the bytes. A body that comes now is refused; those
-// that run keep theirs until they are answered, and then there is room again.
-t.test('bodies of running requests are held until they are answered', async t => {
+// Running requests use up the limit of buffered bytes. A new body is refused; the
+// running requests keep theirs until they get their responses, which frees the
+// capacity.
+t.test('bodies of running requests are buffered until their responses end', async t => {
 	const {server, runs, finish} = await startServer(t, {maxBufferedBytes: 100_000});
 	const running = await openSenders(t, server.address, 3, `${post(30_000, '/slow')}${'x'.repeat(30_000)}`);
 	await waitUntil('all run', () => runs.length === 3);
@@ -179,9 +182,9 @@
 	t.same(runs, ['/slow', '/slow', '/slow', '/next']);
 });
 
-// A caller asks and never reads. Its answer would lie in memory for ever; it is
-// cut, also when nothing else needs the memory.
-t.test('an answer that nobody reads is cut', async t => {
+// A caller sends a request and never reads. Its response would stay in memory
+// forever; the connection is closed, even if the memory is not needed otherwise.
+t.test('the connection of a response that is never read is closed', async t => {
 	let isClosed = false;
 	const sizeBytes = 32 * 1024 * 1024;
 	const server = await createHttpServer({
@@ -202,11 +205,11 @@
 	await waitUntil('its connection was closed', () => isClosed);
 	caller.socket.resume();
 	await waitUntil('the caller sees the end', () => caller.isClosed());
-	t.ok(caller.text().length < sizeBytes, 'and not the whole answer');
+	t.ok(caller.text().length < sizeBytes, 'and not the complete response');
 });
 
-// An answer whose next byte takes longer than that is not cut: the caller reads.
-t.test('an answer that has no next byte yet is not cut', async t => {
+// If the next byte of a response takes longer than that, its connection stays open: the caller is reading.
+t.test('the connection of a response that has no next byte yet stays open', async t => {
 	const server = await createHttpServer({
 		listen: '127.0.0.1:0', limits: {unreadTimeoutMs: 100},
 		async handler(_request, response) {
@@ -221,21 +224,21 @@
 	t.match((await sendRaw(server.address, [get], 20_000)).text, /first,[\s\S]*last/v);
 });
 
-// A caller reads its stream slower than the endpoint writes it. The entry takes
-// the next part from the agent only when the caller has taken the one before;
-// otherwise the whole stream would lie in the entry. Then the caller reads on,
-// and its stream is whole.
-t.test('a slow reader holds its stream back', async t => {
+// A caller reads its stream slower than the endpoint writes it. The entry reads
+// the next part from the agent only after the caller has read the previous one;
+// otherwise the entry would buffer the complete stream. Then the caller continues
+// to read, and its stream is complete.
+t.test('a slow reader causes backpressure on its stream', async t => {
 	const part = Buffer.alloc(65_536, 'x');
 	const partCount = 1024;
-	let taken = 0;
+	let readCount = 0;
 	let listenerCount = 0;
 	let response: http.ServerResponse | undefined;
 	const answer: AttemptAnswer = {
 		status: 200, headers: {'content-type': 'application/octet-stream', 'x-bitternpaddle-host': 'h1'},
 		async * parts() {
-			while (taken < partCount) {
-				taken++;
+			while (readCount < partCount) {
+				readCount++;
 				listenerCount = Math.max(listenerCount, response!.listenerCount('close'));
 				yield part;
 			}
@@ -258,22 +261,22 @@
 	caller.socket.pause();
 	caller.socket.write(get);
 	let before = -1;
-	await waitUntil('nothing more is taken', async () => {
+	await waitUntil('nothing more is read', async () => {
 		await delay(200);
-		const isStill = taken > 0 && taken === before;
-		before = taken;
-		return isStill;
+		const hasStopped = readCount > 0 && readCount === before;
+		before = readCount;
+		return hasStopped;
 	});
-	t.ok(taken < partCount / 2, `${taken} parts of ${partCount} were taken: what the kernel holds, and one more`);
+	t.ok(readCount < partCount / 2, `${readCount} parts of ${partCount} were read: what the kernel buffers, and one more`);
 	caller.socket.resume();
 	await waitUntil('the stream has ended', () => caller.isClosed());
-	t.equal(taken, partCount);
-	t.ok(listenerCount < 10, 'a wait leaves no listener behind');
-	t.ok(caller.text().length >= partCount * part.length, 'and the caller has all of it');
+	t.equal(readCount, partCount);
+	t.ok(listenerCount < 10, 'a wait leaves no listener');
+	t.ok(caller.text().length >= partCount * part.length, 'and the caller got all of it');
 });
 
-// An RPC meets a server that is full. Its answer is no JSON-RPC and names no
-// call: the caller must see an error, not wait for ever.
+// An RPC is sent to an overloaded server. Its response is not JSON-RPC and has no
+// call id: the caller must get an error, not wait forever.
 t.test('a call to a server that refuses fails at once', async t => {
 	const {server, runs, finish} = await startServer(t, {maxConnections: 16});
 	await openSenders(t, server.address, 16, `${post(2, '/slow')}{}`);
@@ -284,8 +287,8 @@
 	finish();
 });
 
-// The bound holds in every role, for each has the same server.
-t.test('entry, agent and control host keep to their setting', async t => {
+// The limit applies to every role, since all use the same server.
+t.test('entry, agent and control host apply their connection limit', async t => {
 	const folder = testFolder(t);
 	const serverLimits = {maxConnections: 16};
 	const members = new Map<string, string>();
@@ -304,14 +307,14 @@
 	for (const {address} of [entry, agent, control]) {
 		const senders = await openSenders(t, address, 100);
 		t.match(await sendRaw(address, ['GET /nothing HTTP/1.1\r\nhost: test\r\nconnection: close\r\n\r\n'], 20_000), {status: 404});
-		await waitUntil('the rest was closed', () => senders.filter(sender => !sender.isClosed()).length <= 16);
+		await waitUntil('the others were closed', () => senders.filter(sender => !sender.isClosed()).length <= 16);
 	}
 });
 
-t.test('the settings of a server are checked', async t => {
-	const needed = {roles: 'control', hostId: 'c1', controls: 'c1=127.0.0.1:1'};
+t.test('the settings of a server are validated', async t => {
+	const requiredFlags = {roles: 'control', hostId: 'c1', controls: 'c1=127.0.0.1:1'};
 	const problemsOf = (flags: Record<string, string>): readonly string[] => {
-		const result = resolveSettings({...needed, ...flags}, {});
+		const result = resolveSettings({...requiredFlags, ...flags}, {});
 		return result.type === 'problems' ? result.problems : [];
 	};
 
--- a/test/limits-and-routing.test.ts
+++ b/test/limits-and-routing.test.ts
@@ -22,22 +22,22 @@
 	}
 
 	await waitUntil('all replicas are ready', async () => await count('show replicas where ready = true') === cluster.engines.length);
-	// Control knows it some moments before the entry does.
-	await waitUntil('the entry knows it', async () => (await ask(cluster, 'small-key', 1)).status === 200);
+	// The control hosts have it shortly before the entry does.
+	await waitUntil('the entry has the configuration', async () => (await sendChat(cluster, 'small-key', 1)).status === 200);
 };
 
-const ask = async (cluster: DevCluster, token: string, tokens = 20, entry = 0) => postJson({
+const sendChat = async (cluster: DevCluster, token: string, tokens = 20, entry = 0) => postJson({
 	address: cluster.entries[entry]!.address, token, path: '/v1/chat/completions', headers: {[deadlineHeader]: '120000'}, idleTimeoutMs: 120_000,
 	body: {model: 'pitch-desk', max_tokens: tokens, messages: [{role: 'user', content: 'where?'}]},
 });
 
-/** Requests that the entry has and has not answered. */
+/** Number of requests that the entry has not answered yet. */
 const inFlightAt = async ({entries}: DevCluster): Promise<number> => {
 	const {text} = await fetchJson({address: entries[0]!.address, token: '', path: '/readyz'});
 	return (JSON.parse(text) as {inFlight: number}).inFlight;
 };
 
-/** Lets no engine answer until the function that it returns is called. */
+/** Holds the answers of all engines until the returned function is called. */
 const holdEngines = ({engines}: DevCluster): (() => void) => {
 	let release: (() => void) | undefined;
 	const heldUntil = new Promise<void>(resolve => {
@@ -59,12 +59,12 @@
 	return runs;
 };
 
-// A large team sends 300 requests at once to two endpoints that run 32; a small
-// team's ten come last. In order of arrival they would be answered after all
-// 300. They must be answered while most of the burst still waits, and what the
-// burst has too much must be told "not run", with the time to come back. The
-// engines answer nothing until all have come, however long that takes.
-t.test('a large team bursts and a small one is still served', async t => {
+// A large team sends 300 requests at once to two endpoints that run 32; the ten of
+// a small team arrive last. In order of arrival they would be answered after all
+// 300. They must be answered while most of the burst is still waiting, and the
+// requests of the burst that exceed the queue must get "not run" with a retry
+// delay. The engines answer nothing until all have arrived, however long that takes.
+t.test('a small team is served during a burst of a large one', async t => {
 	const cluster = await createDevCluster({engines: 2, entries: 1, limits: {maxQueuedPerTeam: 200, maxQueuedPerTarget: 400}});
 	t.teardown(async () => cluster.close());
 	await setUp(cluster);
@@ -73,92 +73,93 @@
 	let answeredLarge = 0;
 	let refusedLarge = 0;
 	const burst = Promise.all(Array.from({length: 300}, async () => {
-		const answer = await ask(cluster, 'large-key', 300);
+		const answer = await sendChat(cluster, 'large-key', 300);
 		answeredLarge += answer.status === 200 ? 1 : 0;
 		refusedLarge += answer.status === 200 ? 0 : 1;
 		return answer;
 	}));
-	await waitUntil('the burst has come', async () => refusedLarge + await inFlightAt(cluster) === 300);
-	const smallAnswers = Promise.all(Array.from({length: 10}, async () => ask(cluster, 'small-key')));
-	await waitUntil('the small team has come', async () => refusedLarge + await inFlightAt(cluster) === 310);
-	t.equal(answeredLarge, 0, 'the burst came first, and all of it waits');
+	await waitUntil('the burst has arrived', async () => refusedLarge + await inFlightAt(cluster) === 300);
+	const smallAnswers = Promise.all(Array.from({length: 10}, async () => sendChat(cluster, 'small-key')));
+	await waitUntil('the requests of the small team have arrived', async () => refusedLarge + await inFlightAt(cluster) === 310);
+	t.equal(answeredLarge, 0, 'the burst arrived first, and all of it is waiting');
 	release();
 	const small = await smallAnswers;
 	const answeredBefore = answeredLarge;
-	t.same(small.filter(({status}) => status !== 200).map(({text}) => text), [], 'all of the small team are answered');
+	t.same(small.filter(({status}) => status !== 200).map(({text}) => text), [], 'all requests of the small team are answered');
 	const answers = await burst;
 	const refused = answers.filter(({status}) => status !== 200);
 	t.ok(answeredBefore < answeredLarge / 2, `${answeredBefore} of the burst's ${answeredLarge} were answered before the small team's ten`);
 	t.ok(refused.every(({status, headers, text}) => status === 503 && headers['retry-after'] !== undefined && text.includes('not_run')));
-	const refusedForRoom = refused.filter(({text}) => text.includes('too many requests of this team wait'));
-	t.ok(refusedForRoom.length >= 300 - 32 - 200, `${refusedForRoom.length} of ${refused.length} refused for want of room`);
+	const refusedByQueue = refused.filter(({text}) => text.includes('too many requests of this team wait'));
+	t.ok(refusedByQueue.length >= 300 - 32 - 200, `${refusedByQueue.length} of ${refused.length} refused because the queue was full`);
 	const runs = countRuns(cluster) - runsBefore;
-	t.equal(runs, answeredLarge + 10, 'what was refused did not run');
+	t.equal(runs, answeredLarge + 10, 'refused requests did not run');
 });
 
-// 60 callers ask again and again at an endpoint that runs 16, before a queue of
-// 20. Who is refused must hear when there will be room. For that the entry has
-// to take what was answered for work done; it once took it for work that never
-// ran, knew no rate, and told everybody to come back in the least time there is.
-t.test('who is refused for a full queue is told when to come back', async t => {
-	const leastMs = 100;
+// 60 callers keep sending requests to an endpoint that runs 16, with a queue of 20.
+// A caller that is refused must get an estimate of when the queue will have
+// capacity. For that the entry must count answered requests as completed work;
+// when it counted them as work that never ran, it had no rate and sent every caller
+// the minimum retry delay.
+t.test('a request refused for a full queue gets an estimated retry delay', async t => {
+	const minRetryMs = 100;
 	const cluster = await createDevCluster({engines: 1, entries: 1, limits: {maxQueuedPerTeam: 20}});
 	t.teardown(async () => cluster.close());
 	await setUp(cluster);
-	let toldMs = 0;
-	let left = 3000;
-	const askOn = async (): Promise<void> => {
-		while (toldMs <= leastMs && left-- > 0) {
-			const {status, text} = await ask(cluster, 'large-key', 200);
+	let longestRetryMs = 0;
+	let remaining = 3000;
+	const sendRepeatedly = async (): Promise<void> => {
+		while (longestRetryMs <= minRetryMs && remaining-- > 0) {
+			const {status, text} = await sendChat(cluster, 'large-key', 200);
 			if (status !== 200) {
-				toldMs = Math.max(toldMs, (JSON.parse(text) as {error: {retryAfterMs: number}}).error.retryAfterMs);
+				longestRetryMs = Math.max(longestRetryMs, (JSON.parse(text) as {error: {retryAfterMs: number}}).error.retryAfterMs);
 				await delay(50);
 			}
 		}
 	};
 
-	await Promise.all(Array.from({length: 60}, askOn));
-	t.ok(toldMs > leastMs, `told to come back after ${toldMs} ms`);
+	await Promise.all(Array.from({length: 60}, sendRepeatedly));
+	t.ok(longestRetryMs > minRetryMs, `the retry delay is ${longestRetryMs} ms`);
 });
 
-// Two entries send to one endpoint that runs 16, and neither knows what the
-// other has just sent. The door refuses what is too much. Nothing has run, there
-// is no other endpoint, and the callers have two minutes: they must wait for a
-// place in their entry's queue, and not be told "not run" for a lost race.
-t.test('who loses the race for a place waits for the next', async t => {
+// Two entries send to one endpoint that runs 16, and neither knows what the other
+// has just sent. The request gate refuses the excess. Nothing has run, there is no
+// other endpoint, and the callers' deadline is two minutes: the requests must wait
+// in their entry's queue for a slot, and not get "not run" for a lost race.
+t.test('a request that loses the race for a slot waits for the next one', async t => {
 	const cluster = await createDevCluster({engines: 1, entries: 2});
 	t.teardown(async () => cluster.close());
 	await setUp(cluster);
-	await waitUntil('the other entry knows it', async () => (await ask(cluster, 'small-key', 1, 1)).status === 200);
+	await waitUntil('the other entry has the configuration', async () => (await sendChat(cluster, 'small-key', 1, 1)).status === 200);
 	const runsBefore = countRuns(cluster);
-	const answers = await Promise.all(Array.from({length: 200}, async (_, index) => ask(cluster, 'large-key', 50, index % 2)));
-	// On a very busy machine a host may lose its lease for a moment; that refusal is another matter.
+	const answers = await Promise.all(Array.from({length: 200}, async (_, index) => sendChat(cluster, 'large-key', 50, index % 2)));
+	// On a very busy machine a host may briefly lose its lease; that refusal is unrelated to this test.
 	const refused = answers.filter(({status}) => status !== 200);
 	t.same(refused.map(({text}) => text).filter(text => !text.includes('lost contact with control')), []);
-	t.equal(countRuns(cluster) - runsBefore, 200 - refused.length, 'each that was answered ran once');
+	t.equal(countRuns(cluster) - runsBefore, 200 - refused.length, 'each answered request ran once');
 });
 
-// A team has used up its share of the limit and sends on. It must be told so
-// (429, with the time to come back) and nothing of that may run, while another
-// team's requests are answered. A request costs 20 and a little for its prompt.
+// A team has used up its share of the limit and keeps sending. Its requests must be
+// refused (429, with a retry delay) and must not run, while another team's requests
+// are answered. A request costs 20 tokens and a few for its prompt.
 t.test('a team above its share of the limit is refused, another is not', async t => {
 	const cluster = await createDevCluster({engines: 2, entries: 1, limits: {fleetTokensPerSecond: 2, burstSeconds: 200}});
 	t.teardown(async () => cluster.close());
 	await setUp(cluster);
 	const runsBefore = countRuns(cluster);
-	const large = await Promise.all(Array.from({length: 30}, async () => ask(cluster, 'large-key')));
+	const large = await Promise.all(Array.from({length: 30}, async () => sendChat(cluster, 'large-key')));
 	const answered = large.filter(({status}) => status === 200);
 	const refused = large.filter(({status}) => status !== 200);
-	t.ok(answered.length > 0 && answered.length <= 10, `${answered.length} answered of a share of 1 a second with 200 seconds saved up`);
+	t.ok(answered.length > 0 && answered.length <= 10, `${answered.length} answered with a share of 1 token per second and a burst of 200 seconds`);
 	t.ok(refused.length > 0 && refused.every(({status, headers, text}) => status === 429 && headers['retry-after'] !== undefined && text.includes('not_run')), `${refused.length} refused`);
-	t.equal((await ask(cluster, 'small-key')).status, 200);
-	t.equal(countRuns(cluster) - runsBefore, answered.length + 1, 'what was refused did not run');
+	t.equal((await sendChat(cluster, 'small-key')).status, 200);
+	t.equal(countRuns(cluster) - runsBefore, answered.length + 1, 'refused requests did not run');
 });
 
-// An engine takes requests and never answers. Each request sent there is lost
-// to its caller until the deadline; the entry must notice the silence, say so
-// in its log, and send no more there.
-t.test('a silent endpoint is put aside', async t => {
+// An engine accepts requests and never responds. Each request sent there is lost to
+// its caller until the deadline; the entry must detect this, log it, and send no
+// more requests there.
+t.test('an endpoint that does not respond is ejected', async t => {
 	const ejected: string[] = [];
 	const logger: Logger = {
 		...silentLogger,
@@ -172,23 +173,23 @@
 	t.teardown(async () => cluster.close());
 	await setUp(cluster);
 	for (let index = 0; index < 30; index++) {
-		t.equal((await ask(cluster, 'small-key', 1)).status, 200);
+		t.equal((await sendChat(cluster, 'small-key', 1)).status, 200);
 	}
 
 	const silent = cluster.engines.find(engine => engine.runs.length > 0)!;
 	const {hostId} = (cluster.agents[cluster.engines.indexOf(silent)]!);
 	silent.faults.isSilent = true;
-	const lost: Array<Promise<unknown>> = [];
-	while (!ejected.includes(`${hostId} silent`) && lost.length < 400) {
-		lost.push(ask(cluster, 'small-key', 1).catch(() => null));
+	const unanswered: Array<Promise<unknown>> = [];
+	while (!ejected.includes(`${hostId} silent`) && unanswered.length < 400) {
+		unanswered.push(sendChat(cluster, 'small-key', 1).catch(() => null));
 		await new Promise(resolve => {
 			setTimeout(resolve, 25);
 		});
 	}
 
-	t.ok(ejected.includes(`${hostId} silent`), `put aside: ${ejected.join(', ')}`);
+	t.ok(ejected.includes(`${hostId} silent`), `ejected: ${ejected.join(', ')}`);
 	const runsBefore = silent.runs.length;
-	const answers = await Promise.all(Array.from({length: 30}, async () => ask(cluster, 'small-key', 1)));
+	const answers = await Promise.all(Array.from({length: 30}, async () => sendChat(cluster, 'small-key', 1)));
 	t.ok(answers.every(({status}) => status === 200));
-	t.equal(silent.runs.length, runsBefore, 'nothing more is sent there');
+	t.equal(silent.runs.length, runsBefore, 'no more requests are sent there');
 });
--- a/test/operator-session.test.ts
+++ b/test/operator-session.test.ts
@@ -2,8 +2,8 @@
 import {formatRows} from '@bitternpaddle/cli';
 import t from 'tap';
 
-// A whole session as an operator types it: create, load, look, roll to a second
-// version, drain, and the errors on the way.
+// A complete operator session: create, load, query, roll out a second version,
+// drain, and the errors of invalid commands.
 t.test('a session from the first model to a drain', async t => {
 	const cluster = await createDevCluster({engines: 3, entries: 1});
 	t.teardown(async () => cluster.close());
--- a/test/operator-tools.test.ts
+++ b/test/operator-tools.test.ts
@@ -25,21 +25,21 @@
 	'load pitch-desk:v1 on fleet fair',
 ].join('\n');
 
-t.test('a script waits for each step, and stops at the first error with its line', async t => {
+t.test('a script waits for each step, and stops at the first error with its line number', async t => {
 	const {cluster, client, flags} = await startCluster(t, {engines: 2, entries: 1});
 	const file = path.join(testFolder(t), 'set-up.txt');
 	await writeFile(file, setUp(cluster, 2));
 	const done = await runProgram(['script', file, ...flags, '--wait']);
 	t.equal(done.code, 0, done.text);
 	t.match(done.text, /2\/2 replicas ready, 32\/32 chunks, 2,\d{3},\d{3} bytes moved/v);
-	t.equal((await sendLine({...client, line: 'show replicas where ready = true'})).body.rows?.length, 2, 'the wait was over only when both were ready');
+	t.equal((await sendLine({...client, line: 'show replicas where ready = true'})).body.rows?.length, 2, 'the wait ended only when both were ready');
 
 	await writeFile(file, 'show models\ncreate model night-desk\n\ndrian host h1\ncreate model never\n');
 	const stopped = await runProgram(['script', file, ...flags]);
 	t.equal(stopped.code, 2);
 	t.match(stopped.text, 'drian host h1\n^\nexpected "create", "drain"');
 	t.ok(stopped.text.endsWith(`${file}:4: stopped here\n`), stopped.text);
-	t.same((await sendLine({...client, line: 'show models'})).body.rows?.map(({model}) => model), ['night-desk', 'pitch-desk'], 'what came after the error was not run');
+	t.same((await sendLine({...client, line: 'show models'})).body.rows?.map(({model}) => model), ['night-desk', 'pitch-desk'], 'the lines after the error were not run');
 
 	await writeFile(file, 'create fleet large provider new for pitch-desk:v1 replicas 9\nload pitch-desk:v1 on fleet large');
 	const late = await runProgram(['script', file, ...flags, '--wait', '--timeout-seconds', '1']);
@@ -47,7 +47,7 @@
 	t.match(late.text, /accepted, but not done within 1 s: 0\/9 replicas ready/v);
 });
 
-t.test('the shell answers, helps, and keeps a history without keys', async t => {
+t.test('the shell prints responses and help, and keeps a history without keys', async t => {
 	const {flags} = await startCluster(t, {engines: 0, entries: 1});
 	const history = path.join(testFolder(t), 'history');
 	const run = await runProgram(['shell', ...flags, '--history', history], 'create model pitch-desk\ncreate team marshals key marshals-key\nshow models\nhelp\nshow modles\nexit\nshow teams\n');
@@ -56,15 +56,15 @@
 	t.match(run.text, 'model       traffic\npitch-desk');
 	t.match(run.text, 'drain host HOST\n    Takes work off a host');
 	t.match(run.text, 'show modles\n     ^\nexpected "adapters", "fleets"');
-	t.notMatch(run.text, 'share\nmarshals', 'nothing after exit');
+	t.notMatch(run.text, 'share\nmarshals', 'nothing is run after exit');
 	t.equal(await readFile(history, 'utf8'), 'create model pitch-desk\nshow models\nshow modles\n');
 });
 
-// A stream is under way through the second entry when an operator asks the
-// first one about it: it must be listed, explained by its id while it runs and
-// after it has ended, and the host that carries it told apart from one that
+// A stream runs through the second entry when an operator queries the first one
+// about it: it must be listed, explained by its id while it runs and after it has
+// ended, and the explanation of its host must differ from that of a host that
 // does not serve.
-t.test('requests and replicas are explained, through whichever entry', async t => {
+t.test('requests and replicas are explained through any entry', async t => {
 	const {cluster, client, flags} = await startCluster(t, {engines: 2, entries: 2});
 	const file = path.join(testFolder(t), 'set-up.txt');
 	await writeFile(file, setUp(cluster, 1));
@@ -108,9 +108,9 @@
 	t.match((await runProgram(['query', ...flags, 'explain replica h99'])).text, 'no host h99 has announced itself');
 });
 
-// Three tokens, three roles. Each line is refused to every role below the one
-// that it needs; and whatever happens, no token is in the log or in an answer.
-t.test('roles of tokens, and no token in a log', async t => {
+// Three tokens with three roles. Each line is refused for every role below the one
+// that it requires, and no token is ever written to the log.
+t.test('token roles are enforced, and no token is logged', async t => {
 	const logged: string[] = [];
 	const {cluster, client, flags} = await startCluster(t, {
 		engines: 1, entries: 1,
@@ -147,5 +147,5 @@
 		address: client.address, token: 'operating-token', path: '/v1/chat/completions', body: {model: 'none', messages: []},
 	});
 	t.notMatch(logged.join('\n'), /wrong-token|reading-token|operating-token|dev-admin/v);
-	t.ok(logged.length > 3, 'the log was looked at');
+	t.ok(logged.length > 3, 'the log has lines to check');
 });
--- a/test/processes-claims.test.ts
+++ b/test/processes-claims.test.ts
@@ -2,14 +2,14 @@
 import {checkHistory, eventsOf, type CallOutcome} from '@bitternpaddle/test-support';
 import t, {type Test} from 'tap';
 import {createHoldingProxy, type HoldingProxy} from './support/holding-proxy.js';
-import {createProcessCluster, patientMs, type ProcessCluster} from './support/process-cluster.js';
+import {createProcessCluster, stepTimeoutMs, type ProcessCluster} from './support/process-cluster.js';
 
 const key = 'gate-7';
 
-type Held = {readonly cluster: ProcessCluster; readonly proxies: readonly HoldingProxy[]};
+type ClusterWithProxies = {readonly cluster: ProcessCluster; readonly proxies: readonly HoldingProxy[]};
 
-/** Two entries and a ledger; the first entry reaches control only through proxies that hold one step of a claim. */
-const startCluster = async (t: Test, step: {readonly pattern: RegExp; readonly hold: 'request' | 'answer'}): Promise<Held> => {
+/** Starts two entries and a ledger; the first entry reaches the control hosts only through proxies that hold one step of a claim. */
+const startCluster = async (t: Test, step: {readonly pattern: RegExp; readonly hold: 'request' | 'answer'}): Promise<ClusterWithProxies> => {
 	const proxies: HoldingProxy[] = [];
 	const cluster = await createProcessCluster(t, {
 		ledgers: 1,
@@ -26,86 +26,87 @@
 
 const runsOf = ({history}: ProcessCluster): number => eventsOf(history.events, 'runStarted').filter(run => run.key === key).length;
 
-/** Resends through the entry that is left until the outcome is final; gives every outcome. */
+/** Resends through the remaining entry until the outcome is final; returns all outcomes. */
 const resend = async (cluster: ProcessCluster): Promise<CallOutcome[]> => {
 	const outcomes: CallOutcome[] = [];
 	await waitUntil('a final outcome', async () => {
 		outcomes.push(await cluster.book(`resend-${outcomes.length}`, {entry: 1, key}));
 		return outcomes.at(-1)!.type === 'answered' || outcomes.at(-1)!.type === 'mayHaveRun';
-	}, {timeoutMs: patientMs});
+	}, {timeoutMs: stepTimeoutMs});
 	return outcomes;
 };
 
-/** What a resend may get before the end: the key is in progress, or it did not run. */
-const isOpen = ({type}: CallOutcome): boolean => type === 'refused' || type === 'notRun';
+/** Whether a resend may get this before the final outcome: the key is in progress, or it did not run. */
+const isNotFinal = ({type}: CallOutcome): boolean => type === 'refused' || type === 'notRun';
 
 const assertOneRun = (t: Test, cluster: ProcessCluster, outcomes: readonly CallOutcome[]): void => {
-	t.ok(outcomes.slice(0, -1).every(outcome => isOpen(outcome)), 'before it at most "in progress"');
+	t.ok(outcomes.slice(0, -1).every(outcome => isNotFinal(outcome)), 'earlier outcomes are at most "in progress"');
 	t.equal(runsOf(cluster), 1, 'one run');
 	t.same(checkHistory(cluster.history.events), []);
 };
 
-const assertEnd = (t: Test, cluster: ProcessCluster, outcomes: readonly CallOutcome[]): void => {
+const assertAnswered = (t: Test, cluster: ProcessCluster, outcomes: readonly CallOutcome[]): void => {
 	t.match(outcomes.at(-1), {type: 'answered', isComplete: true, echo: key}, 'the resend gets the outcome');
 	assertOneRun(t, cluster, outcomes);
 };
 
-// An entry is killed while its claim of a booking is on its way to control, and
-// the claim arrives late, when nobody is left to act on it. The resend through
-// another entry finds the claim, has the door bar the request that was never
-// sent, and books itself.
+// An entry is killed while its claim of a booking is on its way to the control
+// hosts, and the claim arrives after the entry is gone. The resend through another
+// entry finds the claim, has the request gate bar the request that was never sent,
+// and then runs the booking itself.
 t.test('an entry is killed before its claim is written', {timeout: 120_000}, async t => {
 	const {cluster, proxies} = await startCluster(t, {pattern: /"type":"claim"/v, hold: 'request'});
 	const first = cluster.book('first', {entry: 0, key});
 	await Promise.race(proxies.map(async proxy => proxy.caught));
-	await cluster.entries[0]!.end('SIGKILL');
+	await cluster.entries[0]!.terminate('SIGKILL');
 	t.match(await first, {type: 'cut'});
 	for (const proxy of proxies) {
 		proxy.release();
 	}
 
-	assertEnd(t, cluster, await resend(cluster));
+	assertAnswered(t, cluster, await resend(cluster));
 });
 
-// The claim is written, but the entry is killed before it hears so: it sends
-// nothing to the ledger. The resend may not wait for it for ever, nor run beside
-// a request that is still on its way: the door bars that one first.
+// The claim is written, but the entry is killed before it gets the response: it
+// sends nothing to the ledger. The resend must neither wait for it forever nor run
+// in parallel with a request that is still on its way: the request gate bars that
+// one first.
 t.test('an entry is killed after its claim and before the dispatch', {timeout: 120_000}, async t => {
 	const {cluster, proxies} = await startCluster(t, {pattern: /"type":"claim"/v, hold: 'answer'});
 	const first = cluster.book('first', {entry: 0, key});
 	await Promise.race(proxies.map(async proxy => proxy.caught));
-	await cluster.entries[0]!.end('SIGKILL');
+	await cluster.entries[0]!.terminate('SIGKILL');
 	t.match(await first, {type: 'cut'});
 	t.equal(runsOf(cluster), 0, 'nothing has run yet');
-	assertEnd(t, cluster, await resend(cluster));
+	assertAnswered(t, cluster, await resend(cluster));
 });
 
 // The ledger has the booking and has not answered when the entry is killed. A
-// resend is told "in progress"; the ledger answers, and the next resend gets
-// that answer, read back from the door. Only if the answer takes more than five
-// seconds the door has given the run up by then: it may have run.
+// resend gets "in progress"; the ledger answers, and the next resend gets that
+// answer, read back from the request gate. Only if the answer takes more than five
+// seconds, the request gate has abandoned the run by then: it may have run.
 t.test('an entry is killed after the dispatch and before the answer', {timeout: 120_000}, async t => {
 	const {cluster} = await startCluster(t, {pattern: /never/v, hold: 'request'});
 	const {relay} = cluster.ledgers[0]!;
 	relay.setModes({forward: 'open', backward: 'held'});
 	const first = cluster.book('first', {entry: 0, key});
-	await waitUntil('the ledger has the booking', () => runsOf(cluster) === 1, {timeoutMs: patientMs});
-	await cluster.entries[0]!.end('SIGKILL');
+	await waitUntil('the ledger has the booking', () => runsOf(cluster) === 1, {timeoutMs: stepTimeoutMs});
+	await cluster.entries[0]!.terminate('SIGKILL');
 	t.match(await first, {type: 'cut'});
 	t.match(await cluster.book('early', {entry: 1, key}), {type: 'refused', status: 409}, 'in progress');
 	relay.setModes({forward: 'open', backward: 'open'});
 	assertOneRun(t, cluster, await resend(cluster));
 });
 
-// The ledger has answered, and the entry is killed while it writes the outcome
-// down; the caller has heard nothing. The outcome never arrives. The resend gets
-// the ledger's answer from the door.
+// The ledger has answered, and the entry is killed while it records the outcome;
+// the caller has got no response. The outcome never arrives. The resend gets the
+// ledger's answer from the request gate.
 t.test('an entry is killed after the answer and before the outcome is recorded', {timeout: 120_000}, async t => {
 	const {cluster, proxies} = await startCluster(t, {pattern: /"type":"concludeClaim"/v, hold: 'request'});
 	const first = cluster.book('first', {entry: 0, key});
 	await Promise.race(proxies.map(async proxy => proxy.caught));
 	t.equal(runsOf(cluster), 1);
-	await cluster.entries[0]!.end('SIGKILL');
+	await cluster.entries[0]!.terminate('SIGKILL');
 	t.match(await first, {type: 'cut'});
-	assertEnd(t, cluster, await resend(cluster));
+	assertAnswered(t, cluster, await resend(cluster));
 });
--- a/test/processes.test.ts
+++ b/test/processes.test.ts
@@ -7,11 +7,11 @@
 import t from 'tap';
 import {startDaemon, type DaemonProcess} from './support/daemon-process.js';
 
-// Separate processes. The leader is killed while a load is under way. What the
-// operator sees: the load completes all the same, the next order is accepted,
-// and a caller gets a whole answer. Then an entry and an agent get SIGTERM and
-// end by themselves with code 0.
-t.test('the control leader is killed while a load is under way', {timeout: 90_000}, async t => {
+// Every role runs in separate processes. The leader of the control hosts is killed
+// during a load. The load still completes, the next command is accepted, and a
+// caller gets a complete answer. Then an entry and an agent get SIGTERM and exit by
+// themselves with code 0.
+t.test('the leader of the control hosts is killed during a load', {timeout: 90_000}, async t => {
 	const folder = testFolder(t);
 	const addresses = await freeAddresses(4);
 	const controlAddresses = addresses.slice(0, 3);
@@ -58,15 +58,15 @@
 		await order(line);
 	}
 
-	await waitUntil('the transfers began', async () => (await query('show transfers')).length === 3);
+	await waitUntil('the transfers have started', async () => (await query('show transfers')).length === 3);
 	const ready = await sendHttp({address: controlAddresses[0]!, path: '/readyz', idleTimeoutMs: 2000});
 	const {leaderId} = JSON.parse((await readBody(ready)).toString()) as {leaderId: string};
-	await controlProcesses.get(leaderId)!.end('SIGKILL');
+	await controlProcesses.get(leaderId)!.terminate('SIGKILL');
 	await order('create model next-desk');
-	t.pass('the next order is accepted');
+	t.pass('the next command is accepted');
 	await waitUntil('three replicas ready', async () => (await query('show replicas where ready = true')).length === 3);
 	t.pass('the load completes');
-	// The leader knows it first; the entry hears it some moments later from the control host that it watches.
+	// The leader has the state first; the entry gets it shortly afterwards from the control host that it watches.
 	const {revision} = (await sendLine({...client, line: 'show replicas'})).body;
 	await waitUntil('the entry is at that revision', async () => {
 		const answer = await sendHttp({address: entryAddress, path: '/readyz', idleTimeoutMs: 2000});
@@ -77,9 +77,9 @@
 		address: entryAddress, token: 'marshals-key', path: '/v1/chat/completions', body: {model: 'pitch-desk', stream: true, messages: [{role: 'user', content: 'hello'}]},
 	});
 	t.equal(answer.status, 200);
-	t.ok(answer.text.endsWith('data: [DONE]\n\n'), 'the answer is whole');
+	t.ok(answer.text.endsWith('data: [DONE]\n\n'), 'the answer is complete');
 
 	for (const daemon of [agentProcesses[0]!, entryProcess]) {
-		t.strictSame(await daemon.end('SIGTERM'), {code: 0, signal: null}, 'SIGTERM ends it with code 0');
+		t.strictSame(await daemon.terminate('SIGTERM'), {code: 0, signal: null}, 'it exits with code 0 on SIGTERM');
 	}
 });
--- a/test/promises/configuration.test.ts
+++ b/test/promises/configuration.test.ts
@@ -21,17 +21,17 @@
 
 const inForceBoundMs = 4000;
 
-// The leader of control is cut from the other control hosts for a long time,
-// but not from entries and agents, and goes on believing that it leads. The
-// operator's changes are accepted by the others. Hosts that still hear the old
-// leader get no lease from it, so they find another control host or stop
-// serving; when the cut ends, no host goes back.
-t.test('a leader that is cut off for long and believes it leads', {timeout: 60_000}, async t => {
+// The leader is partitioned from the other control hosts for a long time, but not
+// from entries and agents, and continues to act as leader. The other control hosts
+// accept the operator's changes. Hosts that are still connected to the old leader
+// get no lease from it, so they find another control host or stop serving; when
+// the partition ends, no host returns to an older revision.
+t.test('a leader that is partitioned for long and still acts as leader', {timeout: 60_000}, async t => {
 	const cluster = await startCluster(t);
 	const {history, links, controls} = cluster;
 	const leader = controls.find(control => control.node()?.isLeader())!;
-	const between = links.touching([leader.nodeId]).filter(({from, to}) => [from, to].every(id => controls.some(control => control.nodeId === id)));
-	for (const {relay} of between) {
+	const controlLinks = links.touching([leader.nodeId]).filter(({from, to}) => [from, to].every(id => controls.some(control => control.nodeId === id)));
+	for (const {relay} of controlLinks) {
 		relay.setModes({forward: 'dropped', backward: 'dropped'});
 	}
 
@@ -41,37 +41,37 @@
 	}
 
 	await delay(inForceBoundMs + 1000);
-	for (const {relay} of between) {
+	for (const {relay} of controlLinks) {
 		relay.setModes(openModes);
 	}
 
-	await waitUntil('in force everywhere', async () => {
+	await waitUntil('in force on all hosts', async () => {
 		const [row] = await queryRows(cluster, 'show revision');
 		return row?.missing === '';
 	});
 	cluster.sampleHosts();
-	t.ok(eventsOf(history.events, 'hostSampled').some(sample => sample.isInService), 'hosts were seen in service');
+	t.ok(eventsOf(history.events, 'hostSampled').some(sample => sample.isInService), 'some samples are of hosts in service');
 	t.same(checkHistory(history.events, {inForceBoundMs}), []);
 });
 
-// An agent is killed and comes back without a configuration while it can reach
-// control, and an entry does so while it cannot. Each serves nothing until it
-// has heard a quorum; then it serves by the latest revision and never by an
-// older one.
-t.test('hosts that come back with nothing', {timeout: 60_000}, async t => {
+// An agent is killed and restarts without a configuration while it can reach the
+// control hosts, and an entry does the same while it cannot. Neither serves until
+// a quorum has confirmed its configuration; then it serves by the latest revision
+// and never by an older one.
+t.test('hosts that restart without a configuration', {timeout: 60_000}, async t => {
 	const cluster = await startCluster(t);
 	const {history, links, agents, entries} = cluster;
 	await Promise.all([agents[0]!.kill(), entries[1]!.kill()]);
 	t.match(await operate(cluster, 'create model after-the-kill', {entry: 0}), {type: 'accepted'});
-	const cut = links.touching(['e2']);
-	for (const {relay} of cut) {
+	const partitionedLinks = links.touching(['e2']);
+	for (const {relay} of partitionedLinks) {
 		relay.setModes({forward: 'dropped', backward: 'dropped'});
 	}
 
 	await Promise.all([agents[0]!.start(), entries[1]!.start({links: 'asTheyAre'})]);
 	await delay(500);
-	t.notOk(entries[1]!.node()!.inForce().hasLease, 'the entry that hears nobody does not serve');
-	for (const {relay} of cut) {
+	t.notOk(entries[1]!.node()!.inForce().hasLease, 'the entry that reaches no control host does not serve');
+	for (const {relay} of partitionedLinks) {
 		relay.setModes(openModes);
 	}
 
@@ -79,28 +79,28 @@
 	t.same(checkHistory(history.events, {inForceBoundMs}), []);
 });
 
-// Two operators send commands under the same expected revision through both
-// entries at once, and the leader dies under their hands; both resend under
-// their own command ids until they have an answer. One wins and the other is
-// told so, and each gets the same result however often it asks.
-t.test('operators that race under equal numbers while the leader dies', {timeout: 60_000}, async t => {
+// Two operators send commands with the same expected revision through both entries
+// at once while the leader is killed; both resend with their own command ids until
+// they get a response. One command is accepted and the other refused, and each
+// operator gets the same result however often it resends.
+t.test('operators that race with equal revisions while the leader is killed', {timeout: 60_000}, async t => {
 	const cluster = await startCluster(t);
 	const {history, controls} = cluster;
 	const [row] = await queryRows(cluster, 'show revision');
 	const ifRevision = Number(row!.revision);
-	const insist = async (racer: number): Promise<string> => {
+	const resendUntilAnswered = async (operatorIndex: number): Promise<string> => {
 		let type = 'unknown';
-		await waitUntil(`an answer for operator ${racer}`, async () => {
-			({type} = await operate(cluster, `create model race-${racer}`, {entry: racer, ifRevision, commandId: `racer-${racer}`}));
+		await waitUntil(`a response for operator ${operatorIndex}`, async () => {
+			({type} = await operate(cluster, `create model race-${operatorIndex}`, {entry: operatorIndex, ifRevision, commandId: `racer-${operatorIndex}`}));
 			return type !== 'unknown';
 		});
 		return type;
 	};
 
-	const racing = Promise.all([0, 1].map(async racer => insist(racer)));
+	const firstResults = Promise.all([0, 1].map(async operatorIndex => resendUntilAnswered(operatorIndex)));
 	await controls.find(control => control.node()?.isLeader())!.kill();
-	const results = await racing;
-	const again = await Promise.all([0, 1].map(async racer => insist(racer)));
+	const results = await firstResults;
+	const again = await Promise.all([0, 1].map(async operatorIndex => resendUntilAnswered(operatorIndex)));
 	t.same(again, results, 'a resend gets the first result');
 	t.ok(results.filter(result => result === 'accepted').length <= 1, 'at most one wins');
 	t.same(checkHistory(history.events, {inForceBoundMs}), []);
--- a/test/promises/leaving.test.ts
+++ b/test/promises/leaving.test.ts
@@ -15,26 +15,26 @@
 };
 
 const stream = async (cluster: FailureCluster, callId: string, entry: number, maxTokens: number): Promise<CallOutcome> => recordCall({
-	history: cluster.history, callId, entryId: `e${entry + 1}`, address: cluster.entries[entry]!.node()!.address, token: failureTeamKey, patienceMs: 20_000,
+	history: cluster.history, callId, entryId: `e${entry + 1}`, address: cluster.entries[entry]!.node()!.address, token: failureTeamKey, callTimeoutMs: 20_000,
 	target: {
 		type: 'model', modelId: 'pitch-desk', isStream: true, maxTokens,
 	},
 });
 
-const isCutNode = (nodeId: string): boolean => nodeId === 'h1' || nodeId === 'e1';
+const isPartitionedNode = (nodeId: string): boolean => nodeId === 'h1' || nodeId === 'e1';
 
-const cutLinks = ({links}: FailureCluster, isCut: (from: string, to: string) => boolean): void => {
+const partitionLinks = ({links}: FailureCluster, isPartitioned: (from: string, to: string) => boolean): void => {
 	for (const {from, to, relay} of links.touching(['c1', 'c2', 'c3'])) {
-		if (isCut(from, to)) {
+		if (isPartitioned(from, to)) {
 			relay.setModes({forward: 'dropped', backward: 'dropped'});
 		}
 	}
 };
 
-/** Drains the first host through the second entry and calls through both. The lease is the default one. */
+/** Drains the first host through the second entry and sends requests through both, with the default lease. */
 const drainAndCall = async (t: Test, cluster: FailureCluster): Promise<void> => {
 	const {history} = cluster;
-	// The first try may have gone to the control host that is cut off, and be lost there; a resend under its id is accepted.
+	// The first attempt may go to the partitioned control host and be lost there; a resend with its id is accepted.
 	t.ok(await mustOperate(cluster, 'drain host h1', {entry: 1}) > 0, 'accepted');
 	history.record({type: 'leaveStarted', nodeId: 'h1', cause: 'drain'});
 	const endAtMs = performance.now() + 6000;
@@ -43,37 +43,37 @@
 		await delay(20);
 	}
 
-	t.ok(eventsOf(history.events, 'callEnded').some(({outcome}) => outcome.type === 'notRun'), 'the cut entry refuses in the end');
+	t.ok(eventsOf(history.events, 'callEnded').some(({outcome}) => outcome.type === 'notRun'), 'the partitioned entry finally refuses requests');
 	t.same(checkHistory(history.events), []);
 };
 
-// A host and an entry lose control; neither can hear of the drain that an
-// operator orders through the other entry. Callers of the cut entry go on, and
-// until the leases run out they may still reach the host. Three seconds after
-// the drain it gets no new work: without its lease the entry refuses as "not
-// run", and so does the host.
-t.test('a drain that neither the host nor an entry can hear of', {timeout: 60_000}, async t => {
+// A host and an entry lose their connections to the control hosts; neither
+// receives the drain that an operator submits through the other entry. Callers
+// of the partitioned entry continue, and until the leases expire they may still
+// reach the host. Three seconds after the drain it gets no new work: without its
+// lease the entry refuses requests as "not run", and so does the host.
+t.test('a drain that neither the host nor an entry receives', {timeout: 60_000}, async t => {
 	const cluster = await startCluster(t, 1);
-	cutLinks(cluster, (from, to) => isCutNode(from) && to.startsWith('c'));
+	partitionLinks(cluster, (from, to) => isPartitionedNode(from) && to.startsWith('c'));
 	await drainAndCall(t, cluster);
 });
 
-// The same, but the host and the entry still reach one control host, which has
-// lost the others and cannot hear of the drain either. It answers their watches
-// for as long as the leader's last word lasts. If each answer granted a whole
-// lease, the host would get work for the sum of both.
-t.test('a drain that the only control host in reach cannot hear of', {timeout: 60_000}, async t => {
+// The same, but the host and the entry still reach one control host, which is
+// partitioned from the others and does not receive the drain either. It answers
+// their watches until the leader's last lease expires. If each response granted
+// a full lease, the host would get work for the sum of both leases.
+t.test('a drain that the only reachable control host does not receive', {timeout: 60_000}, async t => {
 	const cluster = await startCluster(t, 1);
 	const {nodeId} = cluster.controls.find(control => !control.node()!.isLeader())!;
 	const isBetweenControls = (from: string, to: string): boolean => from.startsWith('c') && (from === nodeId || to === nodeId);
-	cutLinks(cluster, (from, to) => to.startsWith('c') && (isBetweenControls(from, to) || (isCutNode(from) && to !== nodeId)));
+	partitionLinks(cluster, (from, to) => to.startsWith('c') && (isBetweenControls(from, to) || (isPartitionedNode(from) && to !== nodeId)));
 	await drainAndCall(t, cluster);
 });
 
-// Long streams run through every entry and agent. Then, one after another, an
-// agent, an entry and the leading control host are stopped as planned, and a
-// host is drained. Callers see every stream to its end: a node that leaves
-// refuses new work, finishes what runs, and only then ends.
+// Long streams run through every entry and agent. Then a host is drained, and an
+// agent, an entry and the leader of the control hosts are stopped as planned.
+// Callers get every stream to its end: a leaving node refuses new requests,
+// finishes the running ones, and only then exits.
 t.test('planned stops of every role with streams running', {timeout: 60_000}, async t => {
 	const cluster = await startCluster(t, 20);
 	const {history, agents, entries, controls} = cluster;
@@ -92,6 +92,6 @@
 		plannedStop(controls.find(control => control.node()?.isLeader()) ?? controls[0]!),
 	]);
 	const outcomes = await streams;
-	t.same(outcomes.filter(outcome => outcome.type !== 'answered'), [], 'every stream came to its end');
+	t.same(outcomes.filter(outcome => outcome.type !== 'answered'), [], 'every stream reached its end');
 	t.same(checkHistory(history.events), []);
 });
--- a/test/promises/not-run.test.ts
+++ b/test/promises/not-run.test.ts
@@ -19,10 +19,10 @@
 };
 
 // The open connection to the ledger's host stalls, so a booking sent on it does
-// not arrive. The entry settles on a new connection, hears "not run", and tells
-// the caller. Then the stalled connection delivers the booking after all. It
-// must not run: settling has barred it at the door.
-t.test('a request that arrives after it was settled does not run', {timeout: 60_000}, async t => {
+// not arrive. The entry resolves the attempt on a new connection, gets "not run",
+// and reports it to the caller. Then the stalled connection delivers the booking
+// after all. It must not run: resolving the attempt has barred it at the request gate.
+t.test('a request that arrives after its attempt was resolved does not run', {timeout: 60_000}, async t => {
 	const cluster = await startCluster();
 	t.teardown(async () => cluster.close());
 	const {history, links, agents} = cluster;
@@ -32,7 +32,7 @@
 		relay.holdOpenConnections();
 	}
 
-	t.match(await book(cluster, 'late', 0, 'late'), {type: 'notRun'}, 'the caller is told "not run"');
+	t.match(await book(cluster, 'late', 0, 'late'), {type: 'notRun'}, 'the caller gets "not run"');
 	for (const {relay} of toLedger) {
 		relay.setModes(openModes);
 	}
@@ -42,12 +42,12 @@
 	t.same(checkHistory(history.events), []);
 });
 
-// The ledger's host loses power while a booking runs there and comes back at
-// the same address, remembering nothing. The entry's connection ends and it
-// settles with the new process. If that one said "not run", the caller would
-// book again and pay twice; it says that it does not know, and every resend,
-// through either entry, is told that the booking may have run.
-t.test('a host that comes back does not answer for the one before', {timeout: 60_000}, async t => {
+// The ledger's host loses power while a booking runs there and restarts at the
+// same address without its state. The entry's connection closes and it tries to
+// resolve the attempt with the new process. If that one reported "not run", the
+// caller would book again and pay twice; it reports that it does not know, and
+// every resend, through either entry, gets "may have run".
+t.test('a restarted agent does not report on requests of its predecessor', {timeout: 60_000}, async t => {
 	const cluster = await startCluster();
 	t.teardown(async () => cluster.close());
 	const {history, agents, ledger} = cluster;
@@ -60,7 +60,7 @@
 	await agents.at(-1)!.lose();
 	ledger.faults.isSilent = false;
 	await agents.at(-1)!.start();
-	t.match(await first, {type: 'mayHaveRun'}, 'the caller is not told "not run"');
+	t.match(await first, {type: 'mayHaveRun'}, 'the caller does not get "not run"');
 	for (const resend of [0, 1, 2]) {
 		t.match(await book(cluster, `resend-${resend}`, resend % 2, 'stall-7'), {type: 'mayHaveRun'});
 	}
@@ -69,11 +69,11 @@
 	t.same(checkHistory(history.events), []);
 });
 
-// The entry dies after the ledger has booked and before the outcome is
-// recorded. The caller resends through the other entry until it gets an end:
-// the booking's own answer, read back from the door, or "may have run"; at no
-// time does the booking run again.
-t.test('an entry that dies between a booking and its record', {timeout: 60_000}, async t => {
+// The entry is killed after the ledger has booked and before the outcome is
+// recorded. The caller resends through the other entry until it gets a final
+// outcome: the booking's answer, read back from the request gate, or "may have
+// run"; the booking never runs again.
+t.test('an entry that is killed between a booking and the record of its outcome', {timeout: 60_000}, async t => {
 	const cluster = await startCluster();
 	t.teardown(async () => cluster.close());
 	const {history, entries, ledger} = cluster;
@@ -91,7 +91,7 @@
 		outcome = await book(cluster, `resend-${resend}`, 1, 'gate-3');
 	}
 
-	t.match(outcome, {type: 'mayHaveRun'}, 'the claim of the dead entry is not held for ever');
+	t.match(outcome, {type: 'mayHaveRun'}, 'the claim of the killed entry is not held forever');
 	t.equal(ledger.runsPerKey.get('gate-3'), 1);
 	t.same(checkHistory(history.events), []);
 });
--- a/test/provider-migration.test.ts
+++ b/test/provider-migration.test.ts
@@ -6,7 +6,7 @@
 const startTwoFleets = async (t: Test): Promise<DevCluster> => {
 	const cluster = await createDevCluster({engines: 4, entries: 2});
 	t.teardown(async () => cluster.close());
-	const order = orderTo(cluster);
+	const order = commandSender(cluster);
 	await waitUntil('the hosts joined', async () => (await order('show hosts where role = agent')).rows?.length === 5);
 	for (const line of [
 		'create team marshals key marshals-key',
@@ -21,20 +21,20 @@
 	}
 
 	await waitUntil('all replicas are ready', async () => (await order('show replicas where ready = true')).rows?.length === 4);
-	await everywhere(cluster);
+	await waitUntilInForce(cluster);
 	return cluster;
 };
 
-const orderTo = (cluster: DevCluster) => async (line: string) => (await sendLine({address: cluster.entries[0]!.address, token: cluster.adminToken, line})).body;
+const commandSender = (cluster: DevCluster) => async (line: string) => (await sendLine({address: cluster.entries[0]!.address, token: cluster.adminToken, line})).body;
 
-/** Entries learn of a change some milliseconds after the leader; callers come when it is in force. */
-const everywhere = async (cluster: DevCluster): Promise<void> => waitUntil('in force on every host', async () => {
-	const [row] = (await orderTo(cluster)('show revision')).rows!;
+/** Waits until the last change is in force on all hosts: entries receive it some milliseconds after the leader. */
+const waitUntilInForce = async (cluster: DevCluster): Promise<void> => waitUntil('in force on every host', async () => {
+	const [row] = (await commandSender(cluster)('show revision')).rows!;
 	return row!.inForce === row!.hosts;
 });
 
-/** Asks without end until told to stop; counts what callers got. */
-const startCallers = (t: Test, cluster: DevCluster, isStreaming = false): {counts: {whole: number; failed: number; answers: Set<string>}; stop(): Promise<void>} => {
+/** Sends requests continuously until stopped; counts their outcomes. */
+const startSendingRequests = (t: Test, cluster: DevCluster, isStreaming = false): {counts: {whole: number; failed: number; answers: Set<string>}; stop(): Promise<void>} => {
 	const counts = {whole: 0, failed: 0, answers: new Set<string>()};
 	const stopping = new AbortController();
 	const body = {
@@ -65,67 +65,69 @@
 	};
 };
 
-// The operator moves all traffic to the other fleet in steps while callers ask.
-// In the middle the control leader is closed; the next one goes on from the plan
-// in the log. Every caller gets a whole answer, and the old fleet can be retired.
-t.test('a move in steps goes on after the leader is lost', {timeout: 90_000}, async t => {
+// The operator moves all traffic to the other fleet in steps while callers send
+// requests. During the rollout the leader of the control hosts is closed; the next
+// one continues from the plan in the log. Every caller gets a complete answer, and
+// the old fleet can be retired.
+t.test('a rollout in steps continues after the leader is lost', {timeout: 90_000}, async t => {
 	const cluster = await startTwoFleets(t);
-	const order = orderTo(cluster);
-	const callers = startCallers(t, cluster);
+	const order = commandSender(cluster);
+	const callers = startSendingRequests(t, cluster);
 	await order('move 100% of pitch-desk from fleet old to fleet fresh in steps of 25% every 1 s stopping above 5%');
 	const moved = async (): Promise<number> => Number((await order('show moves')).rows?.[0]?.moved ?? 0);
 	await waitUntil('the first step', async () => await moved() >= 25);
 	await cluster.controls.find(control => control.isLeader())!.close();
-	await waitUntil('the move is done', async () => (await order('show moves where state = done')).rows?.length === 1);
+	await waitUntil('the rollout is done', async () => (await order('show moves where state = done')).rows?.length === 1);
 	await callers.stop();
 	t.match((await order('show models')).rows, [{traffic: 'fresh 100%'}]);
 	t.equal((await order('retire fleet old')).type, 'accepted');
-	t.equal(callers.counts.failed, 0, `${callers.counts.whole} whole answers; others: ${[...callers.counts.answers].join(', ')}`);
+	t.equal(callers.counts.failed, 0, `${callers.counts.whole} complete answers; others: ${[...callers.counts.answers].join(', ')}`);
 });
 
-// The engines of the other fleet cut their answers short. The move stops by
-// itself after its first step; the operator rolls it back, and nobody fails any more.
-t.test('a move stops when the other fleet fails, and is rolled back', {timeout: 90_000}, async t => {
+// The engines of the other fleet truncate their answers. The rollout stops
+// automatically after its first step; the operator rolls it back, and no request
+// fails any more.
+t.test('a rollout stops when the other fleet fails, and is rolled back', {timeout: 90_000}, async t => {
 	const cluster = await startTwoFleets(t);
-	const order = orderTo(cluster);
-	const fresh = new Set((await order('show replicas where fleet = fresh')).rows!.map(row => row.host));
+	const order = commandSender(cluster);
+	const freshHosts = new Set((await order('show replicas where fleet = fresh')).rows!.map(row => row.host));
 	for (const [position, engine] of cluster.engines.entries()) {
-		if (fresh.has(`h${position + 1}`)) {
+		if (freshHosts.has(`h${position + 1}`)) {
 			engine.faults.cutAfterTokens = 0;
 		}
 	}
 
-	const callers = startCallers(t, cluster);
+	const callers = startSendingRequests(t, cluster);
 	await order('move 100% of pitch-desk from fleet old to fleet fresh in steps of 25% every 5 s stopping above 5%');
 	await waitUntil('it stops', async () => (await order('show moves where state = stopped')).rows?.length === 1);
 	t.match((await order('show moves')).rows, [{moved: 25, state: 'stopped', detail: /requests to fresh failed/v}]);
 	t.equal((await order('retire fleet old')).type, 'refused');
 	await order('roll back move of pitch-desk');
 	t.match((await order('show models')).rows, [{traffic: 'old 100%'}]);
-	await everywhere(cluster);
+	await waitUntilInForce(cluster);
 	await callers.stop();
 	const before = {...callers.counts};
-	const after = startCallers(t, cluster);
-	await waitUntil('callers asked again', () => after.counts.whole > 20);
+	const after = startSendingRequests(t, cluster);
+	await waitUntil('requests were sent again', () => after.counts.whole > 20);
 	await after.stop();
 	t.equal(after.counts.failed, 0, `${before.failed} failed before`);
 });
 
-// The engines of the other fleet answer everything whole, but late. No request
-// fails, so the error share stays 0; the service's budget for the first token
-// burns at the rate of a page, and the move stops by that.
-t.test('a move stops when the burn of its service rises, without an error', {timeout: 90_000}, async t => {
+// The engines of the other fleet answer everything completely, but late. No request
+// fails, so the error rate stays 0; but the service's error budget for the first
+// token burns at the rate of a page-level alert, which stops the rollout.
+t.test('a rollout stops when the burn rate of its service rises, without an error', {timeout: 90_000}, async t => {
 	const cluster = await startTwoFleets(t);
-	const order = orderTo(cluster);
+	const order = commandSender(cluster);
 	await order('set objective for service bp-writers whole 99.9% first token 99% within 500 ms');
-	await everywhere(cluster);
-	const fresh = new Set((await order('show replicas where fleet = fresh')).rows!.map(row => row.host));
-	const callers = startCallers(t, cluster, true);
-	await waitUntil('callers asked', () => callers.counts.whole > 20);
+	await waitUntilInForce(cluster);
+	const freshHosts = new Set((await order('show replicas where fleet = fresh')).rows!.map(row => row.host));
+	const callers = startSendingRequests(t, cluster, true);
+	await waitUntil('requests were sent', () => callers.counts.whole > 20);
 	await order('move 100% of pitch-desk from fleet old to fleet fresh in steps of 50% every 600 s stopping above 5%');
 	await waitUntil('the first step', async () => (await order('show moves where moved = 50')).rows?.length === 1);
 	for (const [position, engine] of cluster.engines.entries()) {
-		if (fresh.has(`h${position + 1}`)) {
+		if (freshHosts.has(`h${position + 1}`)) {
 			engine.faults.stallMs = 800;
 		}
 	}
--- a/test/requests.test.ts
+++ b/test/requests.test.ts
@@ -2,16 +2,16 @@
 import {postJson, waitUntil} from '@bitternpaddle/daemon';
 import {parseAddress} from '@bitternpaddle/transport';
 import t from 'tap';
-import {createRequestCluster, isWholeStream, type RequestCluster} from './support/request-cluster.js';
+import {createRequestCluster, isCompleteStream, type RequestCluster} from './support/request-cluster.js';
 
 const errorTypeOf = (text: string): string => (JSON.parse(text) as {error: {type: string}}).error.type;
 
-/** Waits until the stream that is under way has had its first tokens from the engine. */
-const untilStreaming = async (cluster: RequestCluster): Promise<void> => {
+/** Waits until an engine is running the stream. */
+const waitUntilStreaming = async (cluster: RequestCluster): Promise<void> => {
 	await waitUntil('a stream runs', () => cluster.engines.some(({endpoint}) => endpoint.running() > 0));
 };
 
-/** A keep-alive caller that reads the head only, and then hangs up when told to. */
+/** Sends a streaming request as a caller that only reads the response headers and disconnects at `hangUp`. */
 const openStream = async (address: string, maxTokens: number) => new Promise<{response: http.IncomingMessage; hangUp(): void}>((resolve, reject) => {
 	const {host, port} = parseAddress(address);
 	const request = http.request({
@@ -35,74 +35,74 @@
 	const relays = cluster.engines.map(({relay}) => relay);
 	const faultsOf = cluster.engines.map(({endpoint}) => endpoint.faults);
 	const setFaults = (faults: Record<string, unknown>): void => {
-		for (const own of faultsOf) {
-			Object.assign(own, faults);
+		for (const engineFaults of faultsOf) {
+			Object.assign(engineFaults, faults);
 		}
 	};
 
 	const runCount = (): number => cluster.engines.reduce((sum, {endpoint}) => sum + endpoint.runs.length, 0);
 
-	// Every connection between entries and agents is cut in the middle of a
-	// stream. The caller sees nothing of it: the whole answer, from one run.
-	await t.test('connections are cut in the middle of a stream', async t => {
+	// Every connection between entries and agents is closed in the middle of a
+	// stream. The caller does not notice: it gets the complete answer, from one run.
+	await t.test('connections are closed in the middle of a stream', async t => {
 		const before = runCount();
 		setFaults({stallMs: 30});
 		const answer = cluster.chat({content: 'cut', maxTokens: 20});
-		await untilStreaming(cluster);
+		await waitUntilStreaming(cluster);
 		await Promise.all(relays.map(async relay => {
 			relay.goDown();
 			await relay.comeUp();
 		}));
-		t.ok(isWholeStream(await answer), 'the answer is whole');
+		t.ok(isCompleteStream(await answer), 'the answer is complete');
 		t.equal(runCount() - before, 1, 'it ran once');
 		setFaults({stallMs: undefined});
 	});
 
-	// The open connections go silent for good in the middle of a stream, with no
-	// error at either end, while new ones work. Again the caller sees nothing.
-	await t.test('connections go silent in the middle of a stream', async t => {
+	// The open connections permanently stop delivering data in the middle of a stream,
+	// without an error at either end, while new ones work. Again the caller does not notice.
+	await t.test('connections stall in the middle of a stream', async t => {
 		const before = runCount();
 		setFaults({stallMs: 60});
 		const answer = cluster.chat({content: 'silent', maxTokens: 20});
-		await untilStreaming(cluster);
+		await waitUntilStreaming(cluster);
 		for (const relay of relays) {
 			relay.silenceOpenConnections();
 		}
 
-		t.ok(isWholeStream(await answer), 'the answer is whole');
+		t.ok(isCompleteStream(await answer), 'the answer is complete');
 		t.equal(runCount() - before, 1, 'it ran once');
 		setFaults({stallMs: undefined});
 	});
 
-	// Pooled connections went silent while they lay idle. The next requests go
-	// out on them and never arrive; the doors bar them, and they are sent anew.
-	await t.test('idle connections have gone silent', async t => {
+	// Pooled connections have stalled while they were idle. The next requests are sent
+	// on them and never arrive; the request gates bar them, and they are sent again.
+	await t.test('idle connections have stalled', async t => {
 		await Promise.all(Array.from({length: 6}, async (_, index) => cluster.chat({content: `warm ${index}`})));
 		for (const relay of relays) {
 			relay.silenceOpenConnections();
 		}
 
 		const before = runCount();
-		t.ok(isWholeStream(await cluster.chat({content: 'after'})));
+		t.ok(isCompleteStream(await cluster.chat({content: 'after'})));
 		t.equal(runCount() - before, 1, 'it ran once');
 	});
 
-	// Somebody swaps the engine's weights in the middle of an answer. A stream
-	// must not reach its [DONE], and a whole answer becomes an error.
+	// The engine's weights are replaced in the middle of an answer. A stream must not
+	// reach its [DONE], and the answer to a request without streaming becomes an error.
 	await t.test('the engine swaps its weights in the middle of an answer', async t => {
 		setFaults({swapAfterTokens: 3});
 		const streamed = await cluster.chat({content: 'swap'}).catch(() => null);
-		t.equal(streamed, null, 'the stream is cut');
-		await reload(cluster);
+		t.equal(streamed, null, 'the connection of the stream is closed');
+		await restoreWeights(cluster);
 		const whole = await cluster.chat({content: 'swap', stream: false});
 		t.equal(errorTypeOf(whole.text), 'may_have_run');
 		setFaults({swapAfterTokens: undefined});
-		await reload(cluster);
+		await restoreWeights(cluster);
 	});
 
-	// The engine sends the answer to the request before. The caller must not get
-	// it, and is told that its own may have run.
-	await t.test('the engine answers another request', async t => {
+	// The engine sends the answer to the previous request. The caller must not get it;
+	// it gets "may have run" for its own request.
+	await t.test('the engine sends the answer to another request', async t => {
 		await cluster.chat({content: 'somebody else\'s question'});
 		setFaults({isCrossed: true});
 		const answer = await cluster.chat({content: 'mine', stream: false});
@@ -111,29 +111,29 @@
 		t.notOk(answer.text.includes('somebody'));
 	});
 
-	// The engine breaks off in the middle. Nothing can give the rest: the caller
-	// sees a cut connection, never an end.
-	await t.test('the engine cuts a stream', async t => {
+	// The engine closes the connection in the middle. The rest cannot be recovered: the
+	// caller sees its connection close, never the end marker.
+	await t.test('the engine truncates a stream', async t => {
 		setFaults({cutAfterTokens: 3});
 		t.equal(await cluster.chat({content: 'cut'}).catch(() => null), null);
 		setFaults({cutAfterTokens: undefined});
 	});
 
-	// The caller hangs up in the middle of a long stream. The engine hears of it
+	// The caller disconnects in the middle of a long stream. The engine is notified,
 	// and its slot is free long before the stream would have ended.
-	await t.test('the caller hangs up', async t => {
+	await t.test('the caller disconnects', async t => {
 		setFaults({stallMs: 50});
 		const {hangUp} = await openStream(cluster.entries[0]!.address, 100_000);
-		await untilStreaming(cluster);
+		await waitUntilStreaming(cluster);
 		hangUp();
 		await waitUntil('the engine has stopped', () => cluster.engines.every(({endpoint}) => endpoint.running() === 0));
 		t.pass('the slot is free');
 		setFaults({stallMs: undefined});
 	});
 
-	// The engine takes the request and says nothing. At the caller's deadline,
-	// not later, it gets its final answer, and the engine's slot is free again.
-	await t.test('the deadline passes at a silent engine', async t => {
+	// The engine accepts the request and does not respond. At the caller's deadline,
+	// not later, the caller gets its final response, and the engine's slot is free again.
+	await t.test('the deadline passes at an engine that does not respond', async t => {
 		setFaults({isSilent: true});
 		const answer = await cluster.chat({content: 'silent', headers: {'x-bitternpaddle-deadline-ms': '400'}});
 		t.equal(answer.status, 502);
@@ -142,14 +142,15 @@
 		setFaults({isSilent: undefined});
 	});
 
-	t.test('a deadline that is no number is refused', async t => {
+	t.test('a deadline that is not a number is refused', async t => {
 		const answer = await cluster.chat({content: 'x', headers: {'x-bitternpaddle-deadline-ms': 'soon'}});
 		t.equal(answer.status, 400);
 	});
 
-	// Requests hang at silent engines when a new version is ordered. The switch
-	// waits for what runs, but not for ever: the engines' silence ends those
-	// requests, the new version comes into force, and the doors open again.
+	// Requests hang at engines that do not respond when a new version is loaded. The
+	// switch waits for running requests, but not forever: the idle timeout of the
+	// endpoints ends them, the new version comes into force, and the request gates
+	// open again.
 	await t.test('a switch of versions while requests hang', async t => {
 		setFaults({isSilent: true});
 		const hanging = Promise.all(Array.from({length: 4}, async (_, index) => cluster.chat({content: `hangs ${index}`})));
@@ -158,36 +159,36 @@
 		await cluster.load(2);
 		t.ok((await hanging).every(answer => errorTypeOf(answer.text) === 'may_have_run'));
 		const answer = await cluster.chat({content: 'after'});
-		t.ok(isWholeStream(answer));
+		t.ok(isCompleteStream(answer));
 		t.equal(answer.headers['x-bitternpaddle-version'], 'pitch-desk:v2');
 	});
 });
 
-const reload = async (cluster: RequestCluster): Promise<void> => {
-	// The agents notice the swap with the answer; an order brings the right weights back.
+const restoreWeights = async (cluster: RequestCluster): Promise<void> => {
+	// The agents detect the replaced weights by the answer; loading another version and back restores the right ones.
 	await cluster.load(2);
 	await cluster.load(1);
 };
 
-// An entry is cut off from control and does not hear of a drain. It still
-// believes in the drained host and sends requests there: the host itself refuses
-// them as not run, and they are served by the other one.
-t.test('a drained host refuses whatever an entry believes', async t => {
+// An entry is partitioned from the control host and does not receive a drain. It
+// still sends requests to the drained host: the host itself refuses them as not run,
+// and they are served by the other one.
+t.test('a drained host refuses requests of an entry that has not received the drain', async t => {
 	const cluster = await createRequestCluster(t, {engines: 2, entries: 2});
 	await cluster.load(1);
 	cluster.controlRelay.setModes({forward: 'dropped', backward: 'dropped'});
 	await cluster.run('drain host h1');
-	await waitUntil('the host knows', () => cluster.engines[0]!.agent.inForce().revision > cluster.entries[0]!.inForce().revision);
+	await waitUntil('the host has received the drain', () => cluster.engines[0]!.agent.inForce().revision > cluster.entries[0]!.inForce().revision);
 	const before = cluster.engines[0]!.endpoint.runs.length;
 	const answers = await Promise.all(Array.from({length: 8}, async (_, index) => cluster.chat({content: `later ${index}`, entry: 0})));
-	t.ok(answers.every(answer => isWholeStream(answer)), 'all are served');
+	t.ok(answers.every(answer => isCompleteStream(answer)), 'all are served');
 	t.equal(cluster.engines[0]!.endpoint.runs.length, before, 'the drained host gets none');
 });
 
-// Planned stops of an agent and of an entry while streams run through them, over
-// keep-alive connections that stay open. No stream is cut, and both stops come
-// to an end as soon as the streams have.
-t.test('planned stops cut nothing off', async t => {
+// An agent and an entry are stopped as planned while streams run through them, over
+// keep-alive connections that stay open. No stream is truncated, and both stops
+// complete as soon as the streams have ended.
+t.test('planned stops truncate no stream', async t => {
 	const cluster = await createRequestCluster(t, {engines: 2, entries: 2});
 	await cluster.load(1);
 	for (const {endpoint} of cluster.engines) {
@@ -205,9 +206,9 @@
 		address: cluster.entries[1]!.address, token: 'test-key', path: '/v1/chat/completions', body: {model: 'pitch-desk', messages: [{role: 'user', content: 'late'}]},
 	}).catch(() => null);
 	t.ok(refused === null || errorTypeOf(refused.text) === 'not_run', 'new work is refused as not run');
-	t.ok((await streams).every(answer => isWholeStream(answer)), 'all streams are whole');
+	t.ok((await streams).every(answer => isCompleteStream(answer)), 'all streams are complete');
 	await stops;
 	const before = cluster.engines[0]!.endpoint.runs.length;
-	t.ok(isWholeStream(await cluster.chat({content: 'after', entry: 0})));
-	t.equal(cluster.engines[0]!.endpoint.runs.length, before, 'the stopped host gets nothing');
+	t.ok(isCompleteStream(await cluster.chat({content: 'after', entry: 0})));
+	t.equal(cluster.engines[0]!.endpoint.runs.length, before, 'the stopped host gets no requests');
 });
--- a/test/sessions/adapters.test.ts
+++ b/test/sessions/adapters.test.ts
@@ -2,12 +2,12 @@
 import {manifestId} from '@bitternpaddle/state';
 import t from 'tap';
 import {
-	firstLoad, startSession, streamBody, teamKey,
+	loadFirstVersion, startSession, streamBody, teamKey,
 } from '../support/session.js';
 
-// An adapter's life as an operator types it, with every error on the way: it is
-// created, loaded, asked for by a caller, left behind by a new version, and
-// withdrawn and retired.
+// An operator manages an adapter through its whole life cycle and meets every
+// error: it is created, loaded, requested by a caller, superseded by a new
+// version, withdrawn and retired.
 t.test('an adapter from its creation to its retirement', {timeout: 120_000}, async t => {
 	const session = await startSession(t, {engines: 2, entries: 1});
 	const {cluster, type, note} = session;
@@ -17,24 +17,24 @@
 	};
 
 	const tone = await publish(11, 0);
-	const laterTone = await publish(12, 1);
-	const askFor = async (model: string): Promise<void> => {
+	const secondTone = await publish(12, 1);
+	const requestModel = async (model: string): Promise<void> => {
 		const {status, text} = await postJson({
 			address: cluster.entries[0]!.address, token: teamKey, path: '/v1/chat/completions', body: {...streamBody('menu', 1), model},
 		});
 		const fingerprint = /"system_fingerprint":"(?<digests>[^"]+)"/v.exec(text)?.groups?.digests;
-		const said = fingerprint === undefined ? (JSON.parse(text) as {error: {message: string}}).error.message : `from ${fingerprint.split('+').length} sets of weights`;
-		note(`a caller asks for ${model}: ${status}, ${said}`);
+		const summary = fingerprint === undefined ? (JSON.parse(text) as {error: {message: string}}).error.message : `from ${fingerprint.split('+').length} sets of weights`;
+		note(`a caller asks for ${model}: ${status}, ${summary}`);
 	};
 
-	await firstLoad(session, 'fair', 'new', 2);
+	await loadFirstVersion(session, 'fair', 'new', 2);
 	await type('run', `create adapter pitch-desk:v9/menu-tone from manifest ${tone}`);
 	await type('run', `create adapter menu-tone from manifest ${tone}`);
 	await type('run', `create adapter pitch-desk:v1/menu-tone from manifest ${tone}`);
-	await type('run', `create adapter pitch-desk:v1/menu-tone from manifest ${laterTone}`);
+	await type('run', `create adapter pitch-desk:v1/menu-tone from manifest ${secondTone}`);
 	await session.inForceEverywhere();
-	await askFor('pitch-desk/menu-tone');
-	await askFor('pitch-desk/other-tone');
+	await requestModel('pitch-desk/menu-tone');
+	await requestModel('pitch-desk/other-tone');
 	await type('run', 'load adapter pitch-desk:v1/other-tone on fleet fair');
 	await type('run', 'load adapter pitch-desk:v1/menu-tone on fleet none');
 	await type('run', '--wait', 'load adapter pitch-desk:v1/menu-tone on fleet fair');
@@ -42,22 +42,22 @@
 	await type('query', 'show adapters');
 	await type('query', 'show replicas');
 	await type('query', 'explain replica h1');
-	await askFor('pitch-desk/menu-tone');
-	await askFor('pitch-desk');
+	await requestModel('pitch-desk/menu-tone');
+	await requestModel('pitch-desk');
 	await type('run', 'retire adapter pitch-desk:v1/menu-tone');
 	await type('run', `create version pitch-desk:v2 from manifest ${cluster.manifestIds[1]}`);
-	await type('run', `create adapter pitch-desk:v2/menu-tone from manifest ${laterTone}`);
+	await type('run', `create adapter pitch-desk:v2/menu-tone from manifest ${secondTone}`);
 	await type('run', '--wait', 'load adapter pitch-desk:v2/menu-tone on fleet fair');
 	await type('run', '--wait', 'load pitch-desk:v2 on fleet fair');
-	await session.until('show adapters where adapter = pitch-desk:v2/menu-tone and ready = 2', 1);
+	await session.waitForRows('show adapters where adapter = pitch-desk:v2/menu-tone and ready = 2', 1);
 	await session.inForceEverywhere();
 	await type('query', 'show adapters');
-	await askFor('pitch-desk/menu-tone');
+	await requestModel('pitch-desk/menu-tone');
 	await type('run', 'unload adapter pitch-desk:v2/menu-tone from fleet fair');
 	await type('run', 'unload adapter pitch-desk:v2/menu-tone from fleet fair');
 	await session.inForceEverywhere();
-	await askFor('pitch-desk/menu-tone');
-	await session.until('show adapters where adapter = pitch-desk:v2/menu-tone and ready = 0', 1);
+	await requestModel('pitch-desk/menu-tone');
+	await session.waitForRows('show adapters where adapter = pitch-desk:v2/menu-tone and ready = 0', 1);
 	await type('run', 'withdraw adapter pitch-desk:v1/menu-tone');
 	await type('run', 'load adapter pitch-desk:v1/menu-tone on fleet fair');
 	await type('run', 'retire adapter pitch-desk:v1/menu-tone');
--- a/test/sessions/bad-rollout.test.ts
+++ b/test/sessions/bad-rollout.test.ts
@@ -1,14 +1,14 @@
 import t from 'tap';
-import {firstLoad, startSession} from '../support/session.js';
+import {loadFirstVersion, startSession} from '../support/session.js';
 
-// The second version goes to a small fleet that has a tenth of the traffic,
-// and its answers break off after two tokens. The operator sees it in the burn
-// report, takes the traffic back and withdraws the version; the small fleet
-// returns to the first one, and callers are whole again.
+// A second version is loaded on a small fleet that has a share of the traffic,
+// and its answers are truncated after two tokens. The operator takes the traffic
+// back and withdraws the version; the small fleet returns to the first one, and
+// callers get complete answers again.
 t.test('a bad rollout stopped and rolled back', {timeout: 120_000}, async t => {
 	const session = await startSession(t, {engines: 4, oldEngines: 2, entries: 2});
 	const {cluster, type, callers, note} = session;
-	await firstLoad(session, 'stable', 'new', 2);
+	await loadFirstVersion(session, 'stable', 'new', 2);
 	await type('run', `create version pitch-desk:v2 from manifest ${cluster.manifestIds[1]}`);
 	await type('run', 'create fleet canary provider old for pitch-desk:v1 replicas 2');
 	await type('run', '--wait', 'load pitch-desk:v1 on fleet canary');
@@ -25,7 +25,7 @@
 	await callers(20);
 	await type('run', 'withdraw version pitch-desk:v1');
 	await type('run', '--wait', 'withdraw version pitch-desk:v2');
-	await session.until('show replicas where ready = true and version = pitch-desk:v1', 4);
+	await session.waitForRows('show replicas where ready = true and version = pitch-desk:v1', 4);
 	await type('query', 'show versions');
 	await type('query', 'show fleets');
 	await type('run', 'load pitch-desk:v2 on fleet stable');
--- a/test/sessions/errors.test.ts
+++ b/test/sessions/errors.test.ts
@@ -1,16 +1,16 @@
 import t from 'tap';
 import {waitUntil} from '@bitternpaddle/daemon';
 import {runProgram} from '../support/run-program.js';
-import {firstLoad, startSession} from '../support/session.js';
+import {loadFirstVersion, startSession} from '../support/session.js';
 
-// Every kind of error that an operator can meet, as it is read: the language's,
-// the flags', the catalog's refusals, the roles', and control without a quorum.
+// Records every kind of error that an operator can get: syntax errors, invalid
+// flags, refusals by the catalog, missing roles, and control hosts without a quorum.
 t.test('every kind of error', {timeout: 120_000}, async t => {
 	const session = await startSession(t, {engines: 1, entries: 1, adminTokens: [{role: 'read', token: 'reading-token'}]});
 	const {cluster, type, note} = session;
-	await firstLoad(session, 'fair-mornings', 'new', 1);
+	await loadFirstVersion(session, 'fair-mornings', 'new', 1);
 	const lines = [
-		// The language: verb, word, name, version, digest, number, percentage, end of line.
+		// Syntax errors: verb, keyword, name, version, digest, number, percentage, end of line.
 		'drian host h1',
 		'drain hots h1',
 		'create model -x',
@@ -69,7 +69,7 @@
 
 	await Promise.all(cluster.controls.slice(0, 2).map(async control => control.close()));
 	note('two of three control hosts are lost');
-	await waitUntil('the last one knows', async () => (await runProgram(['query', 'show models', ...session.flags])).text.includes('no leader is in contact'));
+	await waitUntil('the remaining control host reports it', async () => (await runProgram(['query', 'show models', ...session.flags])).text.includes('no leader is in contact'));
 	await type('query', 'show models');
 	await type('run', 'create model night-desk');
 	t.matchSnapshot(session.transcript().replaceAll(/127\.0\.0\.1:\d{4,}/gv, 'IP:PORT').replaceAll(/x{100,}/gv, 'xxx...'));
--- a/test/support/daemon-process.ts
+++ b/test/support/daemon-process.ts
@@ -5,51 +5,51 @@
 import type {Test} from 'tap';
 
 const daemonFile = path.resolve('packages/daemon/bin/bitternpaddled.js');
-const shownLines = 12;
-const keptLines = 500;
+const printedLines = 12;
+const retainedLines = 500;
 
-/** How a process ended: by itself with a code, or by a signal. */
-export type ProcessEnd = {readonly code: number | null; readonly signal: NodeJS.Signals | null};
+/** How a process exited: with a code, or by a signal. */
+export type ProcessExit = {readonly code: number | null; readonly signal: NodeJS.Signals | null};
 
-/** `bitternpaddled run` as a process of its own. */
+/** `bitternpaddled run` in a separate process. */
 export type DaemonProcess = {
 	readonly hostId: string;
 	readonly pid: number;
-	/** The newest lines of both outputs. */
+	/** The latest lines of standard output and standard error. */
 	readonly lines: readonly string[];
-	/** Resolves once the process is gone. */
-	readonly ended: Promise<ProcessEnd>;
+	/** Resolves when the process has exited. */
+	readonly exited: Promise<ProcessExit>;
 	isRunning(): boolean;
-	/** Sends a signal to this process and to no other. */
+	/** Sends a signal to this process only. */
 	signal(name: NodeJS.Signals): void;
-	/** Sends the signal and waits for the end. */
-	end(name: NodeJS.Signals): Promise<ProcessEnd>;
+	/** Sends the signal and waits for the exit. */
+	terminate(name: NodeJS.Signals): Promise<ProcessExit>;
 };
 
 export type DaemonFlags = Readonly<Record<string, string>> & {readonly 'host-id': string};
 
-const flagWords = (flags: DaemonFlags): string[] => Object.entries(flags).flatMap(([name, value]) => [`--${name}`, value]);
+const flagArguments = (flags: DaemonFlags): string[] => Object.entries(flags).flatMap(([name, value]) => [`--${name}`, value]);
 
-const keepLines = (child: ChildProcess): string[] => {
+const collectLines = (child: ChildProcess): string[] => {
 	const lines: string[] = [];
 	for (const stream of [child.stdout!, child.stderr!]) {
 		createInterface({input: stream}).on('line', line => {
 			lines.push(line);
-			lines.splice(0, lines.length - keptLines);
+			lines.splice(0, lines.length - retainedLines);
 		});
 	}
 
 	return lines;
 };
 
-const describe = ({hostId, pid, lines}: DaemonProcess, end: ProcessEnd | null): string => {
-	const state = end === null ? 'still runs' : `ended with ${end.signal ?? `code ${end.code}`}`;
-	return [`${hostId} (process ${pid}) ${state}; its last lines:`, ...lines.slice(-shownLines).map(line => `    ${line}`)].join('\n');
+const describeExit = ({hostId, pid, lines}: DaemonProcess, end: ProcessExit | null): string => {
+	const state = end === null ? 'is still running' : `exited with ${end.signal ?? `code ${end.code}`}`;
+	return [`${hostId} (process ${pid}) ${state}; its last log lines:`, ...lines.slice(-printedLines).map(line => `    ${line}`)].join('\n');
 };
 
 const running = new Set<ChildProcess>();
 
-// A test file that runs out of time gets SIGALRM from tap and then SIGKILL: no teardown runs, and its daemons would stay behind.
+// Tap sends a test file that times out SIGALRM and then SIGKILL: no teardown runs, and its daemons would keep running.
 process.once('SIGALRM', () => {
 	for (const child of running) {
 		child.kill('SIGKILL');
@@ -57,15 +57,15 @@
 });
 
 /**
- * Starts a daemon that ends with the test at the latest. A test that failed
- * shows how its processes ended and what they said last: from the test's side a
- * daemon that did not come up looks like a slow one.
+ * Starts a daemon that is killed when the test ends. A failed test prints how
+ * its processes exited and their last log lines: to the test, a daemon that
+ * failed to start looks like a slow one.
  */
 export const startDaemon = (t: Test, flags: DaemonFlags): DaemonProcess => {
-	const child = spawn(process.execPath, [daemonFile, 'run', ...flagWords(flags)], {stdio: ['ignore', 'pipe', 'pipe']});
+	const child = spawn(process.execPath, [daemonFile, 'run', ...flagArguments(flags)], {stdio: ['ignore', 'pipe', 'pipe']});
 	running.add(child);
-	let end: ProcessEnd | null = null;
-	const ended = new Promise<ProcessEnd>(resolve => {
+	let end: ProcessExit | null = null;
+	const exited = new Promise<ProcessExit>(resolve => {
 		child.once('exit', (code, signal) => {
 			running.delete(child);
 			end = {code, signal};
@@ -73,23 +73,23 @@
 		});
 	});
 	const daemon: DaemonProcess = {
-		hostId: flags['host-id'], pid: child.pid!, lines: keepLines(child), ended,
+		hostId: flags['host-id'], pid: child.pid!, lines: collectLines(child), exited,
 		isRunning: () => end === null,
 		signal(name) {
 			child.kill(name);
 		},
-		async end(name) {
+		async terminate(name) {
 			child.kill(name);
-			return ended;
+			return exited;
 		},
 	};
 	t.teardown(async () => {
 		if (!t.passing()) {
-			console.error(describe(daemon, end));
+			console.error(describeExit(daemon, end));
 		}
 
-		// Ends a frozen process too.
-		await daemon.end('SIGKILL');
+		// SIGKILL also ends a suspended process.
+		await daemon.terminate('SIGKILL');
 	});
 	return daemon;
 };
--- a/test/support/holding-proxy.ts
+++ b/test/support/holding-proxy.ts
@@ -4,18 +4,18 @@
 
 export type HoldingProxyOptions = {
 	readonly target: string;
-	/** The request that is caught, by its text. */
+	/** Matches the request to hold, by its text. */
 	readonly pattern: RegExp;
-	/** `request`: it does not reach the target. `answer`: it does, and its answer does not come back. */
+	/** `request`: the request does not reach the target. `answer`: it does, but the response does not come back. */
 	readonly hold: 'request' | 'answer';
 };
 
-/** A TCP proxy that lets everything pass but one kind of request, at which it holds the connection: so a test stops at an exact step. */
+/** A TCP proxy that forwards everything until a matching request, at which it holds the connection, so that a test can stop at an exact step. */
 export type HoldingProxy = {
 	readonly address: string;
-	/** Resolves once a request is held, or its answer. */
+	/** Resolves once a request or its response is held. */
 	readonly caught: Promise<void>;
-	/** Nothing is held from now on; a request that was held arrives late, also if its sender is gone. */
+	/** Stops holding; what was held arrives late, even if its sender has disconnected. */
 	release(): void;
 };
 
@@ -32,7 +32,7 @@
 		const {host, port} = parseAddress(target);
 		const upstream = net.connect({host, port});
 		let isCaught = false;
-		const pass = (direction: 'request' | 'answer', action: () => void): void => {
+		const forward = (direction: 'request' | 'answer', action: () => void): void => {
 			if (isHolding && isCaught && direction === hold) {
 				held.push(action);
 				markCaught();
@@ -43,28 +43,28 @@
 
 		for (const socket of [client, upstream]) {
 			sockets.add(socket);
-			// Followed by `close`, which passes the end on.
+			// Followed by `close`, whose handler forwards the end of the connection.
 			socket.on('error', () => undefined);
 		}
 
 		client.on('data', (data: Uint8Array) => {
 			isCaught ||= isHolding && pattern.test(new TextDecoder().decode(data));
-			pass('request', () => {
+			forward('request', () => {
 				upstream.write(data);
 			});
 		});
 		client.on('close', () => {
-			pass('request', () => {
+			forward('request', () => {
 				upstream.end();
 			});
 		});
 		upstream.on('data', (data: Uint8Array) => {
-			pass('answer', () => {
+			forward('answer', () => {
 				client.write(data);
 			});
 		});
 		upstream.on('close', () => {
-			pass('answer', () => {
+			forward('answer', () => {
 				client.end();
 			});
 		});
