--- a/test/support/process-cluster.ts
+++ b/test/support/process-cluster.ts
@@ -13,47 +13,47 @@
 	readonly controls?: number;
 	/** @default 2 */
 	readonly entries?: number;
-	/** Agents before model engines. @default 0 */
+	/** Number of model engines, each with an agent. @default 0 */
 	readonly engines?: number;
-	/** Agents before a ledger, whose calls may not be repeated. @default 0 */
+	/** Number of ledgers, whose calls must not be repeated, each with an agent. @default 0 */
 	readonly ledgers?: number;
-	/** Of the engines. @default 1 */
+	/** Time per token of the engines. @default 1 */
 	readonly tokenMs?: number;
-	/** What the first entry knows as the control hosts' addresses, from the real ones; for a link that fails. */
+	/** Maps the addresses of the control hosts to those that the first entry connects to, for a link that fails. */
 	readonly firstEntryControls?: (addresses: readonly string[]) => Promise<readonly string[]>;
 };
 
 export type AddressedProcess = DaemonProcess & {readonly address: string};
 
-/** Every role as processes of their own; engines, ledgers and the origin are fakes in the test's process. */
+/** Every role in separate processes; engines, ledgers and the origin are fakes in the test's process. */
 export type ProcessCluster = {
 	readonly history: History;
 	readonly controls: readonly AddressedProcess[];
 	readonly entries: readonly AddressedProcess[];
 	readonly engines: ReadonlyArray<{readonly engine: FakeEngine; readonly agent: DaemonProcess}>;
-	/** The relay lies between the agent and its ledger. */
+	/** The relay is between the agent and its ledger. */
 	readonly ledgers: ReadonlyArray<{readonly service: FakeService; readonly relay: Relay; readonly agent: DaemonProcess}>;
 	/** All processes. */
 	readonly daemons: readonly DaemonProcess[];
-	/** The control host that leads, as its own readiness says. */
+	/** Waits for a control host that reports itself as the leader. */
 	leader(): Promise<AddressedProcess>;
-	/** Readiness of one control host or entry; `null` if it does not answer. */
+	/** Readiness of one control host or entry; `null` if it does not respond. */
 	readiness(daemon: AddressedProcess): Promise<Readiness | null>;
-	/** Sends one line once, through the entry of that number. */
+	/** Sends one line once, through the entry with that index. */
 	send(line: string, entry?: number, commandId?: string): Promise<CommandAnswer>;
-	/** Sends one line under one command id until it is accepted. */
+	/** Resends one line with the same command id until it is accepted. */
 	order(line: string, entry?: number): Promise<number>;
 	rows(line: string, entry?: number): Promise<Array<Record<string, unknown>>>;
-	/** Loads the first version on all engines, and waits until it is in force everywhere. */
+	/** Loads the first version on all engines, and waits until it is in force on all hosts. */
 	load(): Promise<void>;
 	stream(callId: string, options: {entry: number; maxTokens: number}): Promise<CallOutcome>;
-	book(callId: string, options: {entry: number; key: string; patienceMs?: number}): Promise<CallOutcome>;
+	book(callId: string, options: {entry: number; key: string; callTimeoutMs?: number}): Promise<CallOutcome>;
 };
 
 export type Readiness = {readonly isReady: boolean; readonly role: string; readonly term: number; readonly leaderId: string | null; readonly revision: number};
 
-/** Far longer than a step takes on a busy machine; passing it means that it never comes. */
-export const patientMs = 60_000;
+/** Far longer than any step takes on a busy machine. */
+export const stepTimeoutMs = 60_000;
 const adminToken = 'test-admin';
 const teamKey = 'marshals-key';
 const readinessTimeoutMs = 1000;
@@ -113,7 +113,7 @@
 	};
 
 	const send = async (line: string, entry = entryCount - 1, commandId?: string): Promise<CommandAnswer> => sendLine({
-		address: entries[entry]!.address, token: adminToken, line, commandId, idleTimeoutMs: patientMs,
+		address: entries[entry]!.address, token: adminToken, line, commandId, idleTimeoutMs: stepTimeoutMs,
 	});
 
 	const rows = async (line: string, entry?: number): Promise<Array<Record<string, unknown>>> => (await send(line, entry).catch(() => null))?.body.rows ?? [];
@@ -124,25 +124,25 @@
 			const answer = await send(line, entry, line).catch(() => null);
 			revision = answer?.body.revision;
 			return answer?.body.type === 'accepted';
-		}, {timeoutMs: patientMs});
+		}, {timeoutMs: stepTimeoutMs});
 		return revision!;
 	};
 
-	const untilInForce = async (): Promise<void> => waitUntil('in force everywhere', async () => (await rows('show revision'))[0]?.missing === '', {timeoutMs: patientMs});
+	const waitUntilInForce = async (): Promise<void> => waitUntil('in force on all hosts', async () => (await rows('show revision'))[0]?.missing === '', {timeoutMs: stepTimeoutMs});
 
-	await waitUntil('every host joined', async () => (await rows('show hosts')).length === entryCount + engineCount + ledgerCount, {timeoutMs: patientMs});
+	await waitUntil('every host joined', async () => (await rows('show hosts')).length === entryCount + engineCount + ledgerCount, {timeoutMs: stepTimeoutMs});
 	await order(`create team marshals key ${teamKey}`);
-	await untilInForce();
+	await waitUntilInForce();
 	return {
 		history, controls, entries, engines, ledgers, readiness, send, order, rows,
 		daemons: [...controls, ...entries, ...engines.map(({agent}) => agent), ...ledgers.map(({agent}) => agent)],
 		async leader() {
 			let found: AddressedProcess | undefined;
-			await waitUntil('a control host leads', async () => {
+			await waitUntil('a control host is the leader', async () => {
 				const states = await Promise.all(controls.map(async control => readiness(control)));
 				found = controls.find((_, index) => states[index]?.isReady && states[index].role === 'leader');
 				return found !== undefined;
-			}, {timeoutMs: patientMs});
+			}, {timeoutMs: stepTimeoutMs});
 			return found!;
 		},
 		async load() {
@@ -156,17 +156,17 @@
 			}
 
 			history.record({type: 'versionPublished', versionId: 'pitch-desk:v1', digest: manifest.wholeDigest});
-			await waitUntil('the replicas are ready', async () => (await rows('show replicas where ready = true')).length === engineCount, {timeoutMs: patientMs});
-			await untilInForce();
+			await waitUntil('the replicas are ready', async () => (await rows('show replicas where ready = true')).length === engineCount, {timeoutMs: stepTimeoutMs});
+			await waitUntilInForce();
 		},
 		stream: async (callId, {entry, maxTokens}) => recordCall({
-			history, callId, entryId: `e${entry + 1}`, address: entries[entry]!.address, token: teamKey, patienceMs: patientMs,
+			history, callId, entryId: `e${entry + 1}`, address: entries[entry]!.address, token: teamKey, callTimeoutMs: stepTimeoutMs,
 			target: {
 				type: 'model', modelId: 'pitch-desk', isStream: true, maxTokens,
 			},
 		}),
-		book: async (callId, {entry, key, patienceMs = patientMs}) => recordCall({
-			history, callId, entryId: `e${entry + 1}`, address: entries[entry]!.address, token: teamKey, patienceMs, target: {type: 'service', serviceId: 'ledger', key},
+		book: async (callId, {entry, key, callTimeoutMs = stepTimeoutMs}) => recordCall({
+			history, callId, entryId: `e${entry + 1}`, address: entries[entry]!.address, token: teamKey, callTimeoutMs, target: {type: 'service', serviceId: 'ledger', key},
 		}),
 	};
 };
--- a/test/support/raw-http.ts
+++ b/test/support/raw-http.ts
@@ -1,15 +1,15 @@
 import {Buffer} from 'node:buffer';
 import net from 'node:net';
 
-export type RawAnswer = {
-	/** `null` when the connection was closed without an answer. */
+export type RawResponse = {
+	/** `null` if the connection was closed without a response. */
 	readonly status: number | null;
 	readonly text: string;
 	readonly body: string;
 };
 
-/** Sends bytes as they are and reads until the other side closes, or `waitMs` after the last byte sent. */
-export const sendRaw = async (address: string, parts: ReadonlyArray<string | Uint8Array>, waitMs = 2000): Promise<RawAnswer> => new Promise(resolve => {
+/** Sends raw bytes and reads until the server closes the connection, or for `waitMs`. */
+export const sendRaw = async (address: string, parts: ReadonlyArray<string | Uint8Array>, waitMs = 2000): Promise<RawResponse> => new Promise(resolve => {
 	const [host, port] = address.split(':') as [string, string];
 	const received: Uint8Array[] = [];
 	const socket = net.connect({host, port: Number(port)}, () => {
@@ -23,7 +23,7 @@
 	socket.on('data', data => {
 		received.push(data);
 	});
-	// A reset after the answer is the other side's way to stop a sender; what was read counts.
+	// The server may reset the connection after its response to stop the sender; what was read until then counts.
 	socket.on('error', () => undefined);
 	socket.on('close', () => {
 		clearTimeout(timer);
@@ -35,7 +35,7 @@
 
 export type PostOptions = {readonly path: string; readonly body: string; readonly token?: string; readonly headers?: readonly string[]};
 
-/** A request with a body whose connection closes after the answer. */
+/** A POST request whose connection is closed after the response. */
 export const rawPost = ({path, body, token, headers = []}: PostOptions): string => [
 	`POST ${path} HTTP/1.1`,
 	'host: test',
--- a/test/support/request-cluster.ts
+++ b/test/support/request-cluster.ts
@@ -9,7 +9,7 @@
 } from '@bitternpaddle/test-support';
 import type {Test} from 'tap';
 
-/** Bounds that are short enough for a test and far above a step's own time. */
+/** Timeouts that are short enough for a test and far longer than the steps that they bound. */
 export const suspectMs = 300;
 const tickMs = 50;
 const unattendedMs = 600;
@@ -17,36 +17,36 @@
 export type RequestClusterOptions = {
 	/** @default 0 */
 	readonly engines?: number;
-	/** Plain services whose calls may not be repeated. @default 0 */
+	/** Plain services whose calls must not be repeated. @default 0 */
 	readonly ledgers?: number;
 	/** @default 1 */
 	readonly entries?: number;
 	/** @default 1 */
 	readonly controls?: number;
-	/** How long an endpoint may say nothing. @default 1500 */
+	/** How long an endpoint may send no data. @default 1500 */
 	readonly endpointIdleMs?: number;
 };
 
-/** One endpoint with its agent behind a relay that can fail. */
-export type Place<Endpoint> = {
+/** One endpoint with its agent, which is reached through a relay that can fail. */
+export type ServedEndpoint<Endpoint> = {
 	readonly endpoint: Endpoint;
 	readonly relay: Relay;
 	agent: AgentNode;
-	/** Kills the agent and starts it anew, without what it knew. */
+	/** Kills the agent and starts a new one without the old one's state. */
 	restart(): Promise<void>;
 };
 
 export type RequestCluster = {
 	readonly controls: ControlNode[];
 	readonly entries: EntryNode[];
-	/** Between the first entry and control. */
+	/** Between the first entry and the control host. */
 	readonly controlRelay: Relay;
-	readonly engines: Array<Place<FakeEngine>>;
-	readonly ledgers: Array<Place<FakeService>>;
+	readonly engines: Array<ServedEndpoint<FakeEngine>>;
+	readonly ledgers: Array<ServedEndpoint<FakeService>>;
 	readonly origin: FakeOrigin;
 	run(line: string): Promise<void>;
 	query(line: string): Promise<Array<Record<string, unknown>>>;
-	/** Loads the version of that number on all engines. */
+	/** Loads the version with that number on all engines. */
 	load(version: 1 | 2): Promise<void>;
 	chat(options: {content: string; entry?: number; stream?: boolean; maxTokens?: number; headers?: Record<string, string>}): Promise<ClientAnswer>;
 	book(key: string, options?: {entry?: number; body?: unknown; headers?: Record<string, string>}): Promise<ClientAnswer>;
@@ -55,7 +55,7 @@
 const adminToken = 'test-admin';
 const teamKey = 'test-key';
 
-/** A small system whose links between entries and agents can be made to fail. */
+/** Creates a small system whose links between entries and agents can be made to fail. */
 export const createRequestCluster = async (t: Test, options: RequestClusterOptions = {}): Promise<RequestCluster> => {
 	const {
 		engines: engineCount = 0, ledgers: ledgerCount = 0, entries: entryCount = 1, controls: controlCount = 1, endpointIdleMs = 1500,
@@ -93,7 +93,7 @@
 	})));
 	closers.push(async () => Promise.all(entries.map(async entry => entry.kill())));
 
-	const createPlace = async <Endpoint extends {address: string; close(): Promise<void>}>(hostId: string, kind: 'engine' | 'plain', endpoint: Endpoint): Promise<Place<Endpoint>> => {
+	const serveEndpoint = async <Endpoint extends {address: string; close(): Promise<void>}>(hostId: string, kind: 'engine' | 'plain', endpoint: Endpoint): Promise<ServedEndpoint<Endpoint>> => {
 		const relay = await createRelay();
 		const start = async (): Promise<AgentNode> => {
 			const agent = await createAgentNode({
@@ -104,33 +104,33 @@
 			return agent;
 		};
 
-		const place: Place<Endpoint> = {
+		const created: ServedEndpoint<Endpoint> = {
 			endpoint, relay, agent: await start(),
 			async restart() {
-				await place.agent.kill();
-				place.agent = await start();
+				await created.agent.kill();
+				created.agent = await start();
 			},
 		};
 		closers.push(async () => {
-			await place.agent.kill();
+			await created.agent.kill();
 			relay.close();
 			await endpoint.close();
 		});
-		return place;
+		return created;
 	};
 
-	const engines = await Promise.all(Array.from({length: engineCount}, async (_, index) => createPlace(`h${index + 1}`, 'engine', await createFakeEngine())));
-	const ledgers = await Promise.all(Array.from({length: ledgerCount}, async (_, index) => createPlace(`ledger-${index + 1}`, 'plain', await createFakeService())));
+	const engines = await Promise.all(Array.from({length: engineCount}, async (_, index) => serveEndpoint(`h${index + 1}`, 'engine', await createFakeEngine())));
+	const ledgers = await Promise.all(Array.from({length: ledgerCount}, async (_, index) => serveEndpoint(`ledger-${index + 1}`, 'plain', await createFakeService())));
 
 	const admin = {address: entries.at(-1)!.address, token: adminToken};
-	let commands = 0;
+	let commandCount = 0;
 	const run = async (line: string): Promise<void> => {
-		const commandId = `${commands++} ${line}`;
+		const commandId = `${commandCount++} ${line}`;
 		await waitUntil(line, async () => (await sendLine({...admin, line, commandId})).body.type === 'accepted');
 	};
 
 	const query = async (line: string): Promise<Array<Record<string, unknown>>> => (await sendLine({...admin, line})).body.rows ?? [];
-	const inForce = async (): Promise<void> => waitUntil('in force everywhere', async () => (await query('show revision'))[0]?.missing === '');
+	const waitUntilInForce = async (): Promise<void> => waitUntil('in force on all hosts', async () => (await query('show revision'))[0]?.missing === '');
 
 	await waitUntil('the agents joined', async () => (await query('show hosts where role = agent')).length === engineCount + ledgerCount);
 	await run(`create team marshals key ${teamKey}`);
@@ -145,13 +145,13 @@
 		}
 	}
 
-	await inForce();
+	await waitUntilInForce();
 	return {
 		controls, entries, controlRelay, engines, ledgers, origin, run, query,
 		async load(version) {
 			await run(`load pitch-desk:v${version} on fleet fair`);
 			await waitUntil('the replicas are ready', async () => (await query(`show replicas where ready = true and version = pitch-desk:v${version}`)).length === engineCount);
-			await inForce();
+			await waitUntilInForce();
 		},
 		chat: async ({content, entry = 0, stream = true, maxTokens = 10, headers}) => postJson({
 			address: entries[entry]!.address, token: teamKey, path: '/v1/chat/completions', headers,
@@ -165,5 +165,5 @@
 	};
 };
 
-/** How the fakes see that a stream is whole for its caller. */
-export const isWholeStream = ({status, text}: ClientAnswer): boolean => status === 200 && text.endsWith('data: [DONE]\n\n');
+/** Whether a stream is complete, by the end marker of the fake engines. */
+export const isCompleteStream = ({status, text}: ClientAnswer): boolean => status === 200 && text.endsWith('data: [DONE]\n\n');
