--- a/packages/bench/src/burn.ts
+++ b/packages/bench/src/burn.ts
@@ -23,7 +23,7 @@
 		const atMs = endMs - (hours * hourMs) + Math.floor(sample * hourMs / samplesPerHour);
 		for (let pair = 0; pair < pairs; pair++) {
 			countSample(counter, {
-				serviceId: `service-${pair % 10}`, teamId: `team-${pair}`, atMs, isWhole: random.between(0, 999) > 0,
+				serviceId: `service-${pair % 10}`, teamId: `team-${pair}`, atMs, isComplete: random.between(0, 999) > 0,
 				firstTokenMs: 10 ** (random.between(1000, 4000) / 1000), firstTokenBoundMs: 1000,
 			});
 		}
--- a/packages/bench/src/burst.ts
+++ b/packages/bench/src/burst.ts
@@ -5,7 +5,7 @@
 import process from 'node:process';
 import {setTimeout as delay} from 'node:timers/promises';
 import {
-	cascadiaHalls, postJson, sendLine, waitUntil,
+	cascadiaZones, postJson, sendLine, waitUntil,
 } from '@bitternpaddle/daemon';
 import {freeAddresses} from '@bitternpaddle/test-support';
 import {build as buildHistogram} from 'hdr-histogram-js';
@@ -56,7 +56,7 @@
 		}),
 	];
 	for (const [index, engine] of engines.entries()) {
-		const zone = cascadiaHalls[index % cascadiaHalls.length]!;
+		const zone = cascadiaZones[index % cascadiaZones.length]!;
 		children.push(startDaemon({
 			roles: 'agent', 'host-id': `h${index}`, controls, endpoint: engine.address, origin: origin.address, zone: zone.zoneId, region: zone.regionId,
 			service: 'bp-writers', provider: 'new', 'data-folder': path.join(folder, `h${index}`),
--- a/packages/bench/src/capacity/measure-control.ts
+++ b/packages/bench/src/capacity/measure-control.ts
@@ -65,7 +65,7 @@
 		const revision = await submitCommand(clients[0]!, commandSchema.parse({
 			commandId: `change-${firstNumber + index}`, ifRevision: null, change: {type: 'createModel', modelId: `model-${firstNumber + index}`},
 		}));
-		await Promise.all(clients.map(async client => client.reach(revision, 10_000)));
+		await Promise.all(clients.map(async client => client.waitForRevision(revision, 10_000)));
 		latenciesMs.push(performance.now() - startedAtMs);
 		await delay(changeIntervalMs);
 	}
--- a/packages/bench/src/capacity/measure-state.ts
+++ b/packages/bench/src/capacity/measure-state.ts
@@ -7,10 +7,10 @@
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import {median} from 'simple-statistics';
 import {
-	createLossBudget, createPresence, createRandom, createRouter, hearFold, leaseTimes, planMembership, updateRouter, type Presence, type RouterState,
+	createLossBudget, createPresence, createRandom, createRouter, recordAggregate, leaseTimes, planMembership, updateRouter, type Presence, type RouterState,
 } from '@bitternpaddle/coordination';
 import {
-	applyChange, canonicalJsonInSteps, changeSchema, commandSchema, createLedger, freezeState, openLogStore, type Catalog, type Command, type LogStore, type ReplicatedState,
+	applyChange, canonicalJsonInSteps, changeSchema, commandSchema, createLedger, copyState, openLogStore, type Catalog, type Command, type LogStore, type ReplicatedState,
 } from '@bitternpaddle/state';
 import type {SlopeName} from './definitions.js';
 import {heapBytesOf, millisecondsOf} from './heap.js';
@@ -74,7 +74,7 @@
 
 /** Creates a leader's presence state after a control host has reported all hosts. */
 const createFilledPresence = (hosts: number): Presence => {
-	const presence = createPresence({hostLeaseMs: leaseTimes.hostLeaseMs, memberLeaseMs: leaseTimes.wordMs});
+	const presence = createPresence({hostLeaseMs: leaseTimes.hostLeaseMs, memberLeaseMs: leaseTimes.leaderLeaseMs});
 	const reports = Array.from({length: hosts}, (_, index) => {
 		const announcement = sampleAnnouncement(index);
 		return {
@@ -82,7 +82,7 @@
 			readyVersionId: readyVersion, isLeaving: false, transfers: [],
 		};
 	});
-	hearFold(presence, {
+	recordAggregate(presence, {
 		from: 'c1', epoch: 1, sequence: 0, revision: 1, hosts: reports.map(report => ({session: 1, report})), silent: [], behind: [],
 	}, 0);
 	return presence;
@@ -131,7 +131,7 @@
 	for (let round = 0; round < 5; round++) {
 		const startedAtMs = performance.now();
 		stallsMs.push(await measureMaxStallMs(async () => {
-			const text = await canonicalJsonInSteps(freezeState(state), {pause: nextTurn});
+			const text = await canonicalJsonInSteps(copyState(state), {pause: nextTurn});
 			await store.saveSnapshot({
 				index: state.catalog.revision, term: 1, members: {voters: ['c1'], learners: []}, state: text,
 			}, {term: 1, votedFor: 'c1'}, []);
--- a/packages/bench/src/chaos/faults.ts
+++ b/packages/bench/src/chaos/faults.ts
@@ -73,7 +73,7 @@
 /** Partitions a node from one other node or from all, in both directions or in one. */
 const linkFault = ({cluster, recordAffected, fault: {draw, kind}}: FaultContext): ActiveFault => {
 	const nodeId = pick(nodeIdsOf(cluster), draw);
-	const links = cluster.links.touching([nodeId]);
+	const links = cluster.links.adjacentTo([nodeId]);
 	const chosen = draw % 2 === 0 ? links : [pick(links, draw)];
 	const modes = kind === 'linkOneWayCut' && draw % 3 === 0 ? {forward: 'dropped', backward: 'open'} as const : {forward: 'open', backward: 'dropped'} as const;
 	recordAffected([nodeId, ...chosen.flatMap(({from, to}) => [from, to])]);
@@ -85,7 +85,7 @@
 const silenceConnections = ({cluster, recordAffected, fault: {draw}}: FaultContext): ActiveFault => {
 	const nodeId = pick(nodeIdsOf(cluster), draw);
 	recordAffected([nodeId]);
-	return applyToLinks(cluster.links.touching([nodeId]), ({relay}) => {
+	return applyToLinks(cluster.links.adjacentTo([nodeId]), ({relay}) => {
 		relay.silenceOpenConnections();
 	});
 };
@@ -94,7 +94,7 @@
 const suspendNode = ({cluster, recordAffected, fault: {draw}}: FaultContext): ActiveFault => {
 	const nodeId = pick(nodeIdsOf(cluster), draw);
 	recordAffected([nodeId]);
-	return applyToLinks(cluster.links.touching([nodeId]), ({relay}) => {
+	return applyToLinks(cluster.links.adjacentTo([nodeId]), ({relay}) => {
 		relay.setModes({forward: 'held', backward: 'held'});
 	});
 };
@@ -223,7 +223,7 @@
 		.with('nodeFrozen', () => suspendNode(context))
 		.with('engineStall', () => engineFault(context, {stallMs: 100}))
 		.with('engineCut', () => engineFault(context, {cutAfterTokens: 2}))
-		.with('engineCrossed', () => engineFault(context, {isCrossed: true}))
+		.with('engineCrossed', () => engineFault(context, {sendsPreviousAnswer: true}))
 		.with('engineSilent', () => engineFault(context, {isSilent: true}))
 		.with('serviceCutAfterRun', () => serviceFault(context, 'isCutAfterRun'))
 		.with('serviceSilent', () => serviceFault(context, 'isSilent'))
--- a/packages/bench/src/control/claims.ts
+++ b/packages/bench/src/control/claims.ts
@@ -64,7 +64,7 @@
 		}),
 		/** Each new claim evicts the oldest one. */
 		forgettingClaimMicros: medianMicros(position => {
-			claim(withEviction, claims + position, claimLimits.keptMs + 1 + position);
+			claim(withEviction, claims + position, claimLimits.retentionMs + 1 + position);
 		}),
 		/** A claim and its answer, for which the oldest body is evicted. */
 		claimAndAnswerMicros: medianMicros(position => {
--- a/packages/bench/src/control/control.ts
+++ b/packages/bench/src/control/control.ts
@@ -88,7 +88,7 @@
 	const histogram = buildHistogram({numberOfSignificantValueDigits: 3});
 	try {
 		const current = await propose(controls);
-		await Promise.all(watchers.map(async ({client}) => client.reach(current, 20_000)));
+		await Promise.all(watchers.map(async ({client}) => client.waitForRevision(current, 20_000)));
 		await delay(1000);
 		const idleBytes = proxy.bytes();
 		await delay(4000);
@@ -98,7 +98,7 @@
 		for (let change = 0; change < changes; change++) {
 			const sentAtMs = performance.now();
 			const revision = await propose(controls);
-			const reached = await Promise.all(watchers.map(async ({client}) => client.reach(revision, 20_000)));
+			const reached = await Promise.all(watchers.map(async ({client}) => client.waitForRevision(revision, 20_000)));
 			if (!reached.every(Boolean)) {
 				throw new Error('a host did not reach the revision');
 			}
--- a/packages/bench/src/fleet-cost/deployment.ts
+++ b/packages/bench/src/fleet-cost/deployment.ts
@@ -36,7 +36,7 @@
 		urgency: 'x-urgency', load: 'x-load', lastEventId: 'last-event-id',
 	},
 	decodeConfiguration: () => ({type: 'configuration', configuration}),
-	readTokens: () => ({prompt: 970, mostAnswer: 80}),
+	readTokens: () => ({prompt: 970, maxAnswer: 80}),
 	readActive: () => null,
 	readLimit: () => ({type: 'unlimited'}),
 	readPause: () => ({type: 'none'}),
--- a/packages/bench/src/fleet-cost/fleet.ts
+++ b/packages/bench/src/fleet-cost/fleet.ts
@@ -1,8 +1,8 @@
 import http from 'node:http';
 import {setTimeout as delay} from 'node:timers/promises';
 import {
-	configurationResultSchema, createDatagramSender, createLoadSender, createSendingSocket, digestEveryMs, relaysPerZone, watchParametersSchema,
-	type Follower, type LoadReport, type ReportWay, type WatchResult,
+	configurationResultSchema, createDatagramSender, createLoadSender, createSendingSocket, digestIntervalMs, relaysPerZone, watchParametersSchema,
+	type Follower, type LoadReport, type ReportDelivery, type WatchResult,
 } from '@bitternpaddle/gateway';
 import {
 	callRpc, createHttpServer, createRpcServer, parseAddress, type HttpServer,
@@ -88,8 +88,8 @@
 	const socket = createSendingSocket();
 	const sender = createLoadSender(createDatagramSender(socket));
 	let sequence = 0;
-	const reportOf = (index: number, way: ReportWay): LoadReport => ({
-		epoch: 1, sequence, endpointAddress: endpointAddressOf(index), way, report: {
+	const reportOf = (index: number, way: ReportDelivery): LoadReport => ({
+		epoch: 1, sequence, endpointAddress: endpointAddressOf(index), delivery: way, report: {
 			running: (sequence + index) % slots, queued: 0, pace: 1, isBusy: false, isStrained: false, version: 1, readyInMs: null,
 		},
 	});
@@ -105,7 +105,7 @@
 			const reports = indexes.filter(engine => zoneOf(engine) === zone).map(index => reportOf(index, {type: 'relayed', ageMs: reportIntervalMs / 2, delayMs: 0}));
 			sender.send({kind: 'passed', reports}, [address]);
 		}
-	}, digestEveryMs / relaysPerZone);
+	}, digestIntervalMs / relaysPerZone);
 	return {
 		close() {
 			clearInterval(reporting);
@@ -126,7 +126,7 @@
 		while (!abortController.signal.aborted) {
 			try {
 				const answer = await callRpc<WatchResult>({
-					address, agent, method: 'gateway.watch', isPacked: true, timeoutMs: waitMs + 2000,
+					address, agent, method: 'gateway.watch', isCompressed: true, timeoutMs: waitMs + 2000,
 					params: {
 						...known, follower, waitMs: known.epoch === '' ? 0 : waitMs, configurationNumber: 1,
 					},
--- a/packages/bench/src/placement/placement.ts
+++ b/packages/bench/src/placement/placement.ts
@@ -1,7 +1,7 @@
 import {writeFile} from 'node:fs/promises';
 import {parseArgs} from 'node:util';
 import {
-	profileNames, resolveScenario, scenarioNames, upperBound, workNames, type Counts, type ProfileName, type Result, type ScenarioName, type WorkName,
+	profileNames, resolveScenario, scenarioNames, upperBound, workloadNames, type Counts, type ProfileName, type Result, type ScenarioName, type WorkloadName,
 } from '@bitternpaddle/model';
 import {mean, standardDeviation} from 'simple-statistics';
 import {playAll} from './play-all.js';
@@ -16,7 +16,7 @@
 	readonly engineCount: number;
 	readonly entryCount: number;
 	readonly profile: ProfileName;
-	readonly work: WorkName;
+	readonly work: WorkloadName;
 	readonly plotFile: string | null;
 };
 
@@ -56,7 +56,7 @@
 		scenarios: parseNames('scenario', values.scenario, scenarioNames), seeds: parseCount('seeds', values.seeds), engineCount: parseCount('engines', values.engines),
 		entryCount: parseCount('entries', values.entries),
 		policies: [product, ...parseOptionalNames('policy', values.policy, Object.keys(baselines)), ...parseOptionalNames('mechanism', values.without, Object.keys(ablations))],
-		profile: parseNames('profile', values.profile, profileNames)[0]!, work: parseNames('work', values.work, workNames)[0]!, plotFile: values.plot ?? null,
+		profile: parseNames('profile', values.profile, profileNames)[0]!, work: parseNames('work', values.work, workloadNames)[0]!, plotFile: values.plot ?? null,
 	};
 };
 
--- a/packages/bench/src/placement/play-worker.ts
+++ b/packages/bench/src/placement/play-worker.ts
@@ -1,6 +1,6 @@
 import {parentPort} from 'node:worker_threads';
 import {
-	playScenario, productPolicy, resolveScenario, type Counts, type EntryPolicy, type ProfileName, type Result, type ScenarioName, type WorkName,
+	simulateScenario, productPolicy, resolveScenario, type Counts, type EntryPolicy, type ProfileName, type Result, type ScenarioName, type WorkloadName,
 } from '@bitternpaddle/model';
 import {ablations, baselines} from './policies.js';
 
@@ -13,7 +13,7 @@
 	readonly engineCount: number;
 	readonly entryCount: number;
 	readonly profile: ProfileName;
-	readonly work: WorkName;
+	readonly work: WorkloadName;
 };
 
 export type PlayDone = {readonly job: PlayJob; readonly result: Result; readonly bySecond: readonly Counts[]};
@@ -28,7 +28,7 @@
 
 parentPort!.on('message', (job: PlayJob) => {
 	const {scenario, policy, seed, ...size} = job;
-	const {result, tally: {bySecond}} = playScenario({scenario: resolveScenario(scenario, size), seed, policy: policyOf(policy)});
+	const {result, tally: {bySecond}} = simulateScenario({scenario: resolveScenario(scenario, size), seed, policy: policyOf(policy)});
 	const done: PlayDone = {job, result, bySecond};
 	parentPort!.postMessage(done);
 });
--- a/packages/bench/src/placement/policies.ts
+++ b/packages/bench/src/placement/policies.ts
@@ -1,10 +1,10 @@
 import {
-	createObjectiveMix, createSpareRoom, hasFreshReport, nextStep, strictestObjectiveMs,
-	type Candidate, type NextStep, type ServiceDemand, type SeekingRequest, type Surroundings, type WaitReason,
+	createObjectiveMix, createSpareCapacity, hasFreshReport, nextStep, strictestObjectiveMs,
+	type Candidate, type NextStep, type ServiceDemand, type UnplacedRequest, type PlacementContext, type WaitReason,
 } from '@bitternpaddle/coordination';
 import {productPolicy, type EntryPolicy} from '@bitternpaddle/model';
 
-type Step = (demand: ServiceDemand, context: Surroundings, request: SeekingRequest) => NextStep;
+type Step = (demand: ServiceDemand, context: PlacementContext, request: UnplacedRequest) => NextStep;
 
 const withStep = (step: Step): EntryPolicy => ({...productPolicy, step});
 
@@ -38,7 +38,7 @@
 		...request, objectiveMs: Math.min(strictestObjectiveMs(demand.objectives, context.nowMs), request.objectiveMs),
 	})),
 	/** Ignores the recorded spare capacity. */
-	room: withStep((demand, context, request) => nextStep({...demand, spareRoom: createSpareRoom()}, context, request)),
+	room: withStep((demand, context, request) => nextStep({...demand, spareCapacity: createSpareCapacity()}, context, request)),
 	/** Ignores concurrent arrivals at other entries. */
 	crowd: withStep((demand, context, request) => nextStep(demand, {...context, entryCount: 1}, request)),
 	/** Treats caller retries like first attempts. */
@@ -52,7 +52,7 @@
 	urgency: {...productPolicy, urgency: () => 1},
 };
 
-type Choose = (candidates: readonly Candidate[], context: Surroundings) => Candidate;
+type Choose = (candidates: readonly Candidate[], context: PlacementContext) => Candidate;
 
 /** Sends each request to a serving candidate, regardless of the time to the first token that is expected of it. */
 const sendTo = (choose: Choose): EntryPolicy => withStep((demand, context, request) => {
@@ -66,7 +66,7 @@
 const minBy = (candidates: readonly Candidate[], measure: (candidate: Candidate) => number): Candidate => candidates.toSorted((a, b) => measure(a) - measure(b))[0]!;
 
 const activeRequests = ({load}: Candidate): number => Math.max(load.outstanding, (load.report?.running ?? 0) + (load.report?.queued ?? 0));
-const pickRandom = (candidates: readonly Candidate[], {random}: Surroundings): Candidate => candidates[random.between(0, candidates.length - 1)]!;
+const pickRandom = (candidates: readonly Candidate[], {random}: PlacementContext): Candidate => candidates[random.between(0, candidates.length - 1)]!;
 
 /** Simpler policies for comparison. */
 export const baselines: Readonly<Record<string, () => EntryPolicy>> = {
--- a/packages/bench/src/quarantine.ts
+++ b/packages/bench/src/quarantine.ts
@@ -1,6 +1,6 @@
 import {parseArgs} from 'node:util';
 import {
-	clearRequest, createCrashLedger, createRandom, drawShare, takeSightings, type AnswerStage, type CrashSighting, type Random, type RequestFingerprint,
+	clearRequest, createCrashLedger, createRandom, randomFraction, addSightings, type AnswerStage, type CrashSighting, type Random, type RequestFingerprint,
 } from '@bitternpaddle/coordination';
 
 /** A simulated series of unexpected endpoint exits, and the endpoints and callers that take part. */
@@ -84,7 +84,7 @@
 	for (let end = 0; end < scenario.ends && (scenario.crashing === 0 || remainingCrashing.size > 0); end++) {
 		const nowMs = end * exitIntervalMs;
 		for (const caller of callers) {
-			if (drawShare(random) < scenario.completing) {
+			if (randomFraction(random) < scenario.completing) {
 				clearRequest(ledger, {fingerprint: caller.request, atMs: nowMs}, nowMs);
 				caller.request = nextRequest();
 				caller.tries = 0;
@@ -103,13 +103,13 @@
 		const sightings = affectedCallers.map(({request}): CrashSighting => ({
 			fingerprint: request, address, atMs: nowMs, stage: stages[random.between(0, stages.length - 1)]!,
 		}));
-		if (drawShare(random) >= scenario.otherCauses) {
+		if (randomFraction(random) >= scenario.otherCauses) {
 			sightings.push({
 				fingerprint: [...remainingCrashing][random.between(0, remainingCrashing.size - 1)]!, address, atMs: nowMs, stage: 'begun',
 			});
 		}
 
-		for (const {fingerprint, evidence} of takeSightings(ledger, sightings, nowMs).verdicts) {
+		for (const {fingerprint, evidence} of addSightings(ledger, sightings, nowMs).verdicts) {
 			if (remainingCrashing.delete(fingerprint)) {
 				endsUntilRefused.push(evidence.length);
 			} else {
--- a/packages/bench/src/routing/decision.ts
+++ b/packages/bench/src/routing/decision.ts
@@ -1,5 +1,5 @@
 import {
-	chooseEndpoint, createRandom, createRouter, noteEnd, noteFirstByte, noteStart, setEntries, updateRouter, type RouterState, type RouteTarget,
+	chooseEndpoint, createRandom, createRouter, recordEnd, recordFirstByte, recordStart, setEntries, updateRouter, type RouterState, type RouteTarget,
 } from '@bitternpaddle/coordination';
 import {manifestId, type Catalog} from '@bitternpaddle/state';
 import {createBenchCatalog, createBenchRecord} from './catalog.js';
@@ -58,12 +58,12 @@
 			throw new Error(choice.type);
 		}
 
-		noteStart(router, choice.endpoint.hostId, nowMs);
+		recordStart(router, choice.endpoint.hostId, nowMs);
 		startedHostIds.push(choice.endpoint.hostId);
 		if (startedHostIds.length > heldRequests) {
 			const endedHostId = startedHostIds.shift()!;
-			noteFirstByte(router, endedHostId, nowMs);
-			noteEnd(router, endedHostId, {outcome: {type: 'answered', latencyMs: 10}, hadFirstByte: true}, nowMs);
+			recordFirstByte(router, endedHostId, nowMs);
+			recordEnd(router, endedHostId, {outcome: {type: 'answered', latencyMs: 10}, hadFirstByte: true}, nowMs);
 		}
 	};
 };
--- a/packages/bench/src/routing/limit-simulation.ts
+++ b/packages/bench/src/routing/limit-simulation.ts
@@ -1,6 +1,6 @@
 import {
-	answerShareRequest, countEntries, createAdmission, createEntryShares, fillBuckets, finishRequest, offerRequest, setShares, setTeamRates, shareOf, takeEntries,
-	takeRequest, takeShareAnswer, teamRatesOf, teamUses, tickShares, type AdmissionState, type EntryShares, type ShareAsk,
+	answerShareRequest, countEntries, createAdmission, createEntryShares, fillBuckets, finishRequest, offerRequest, setShares, setTeamRates, shareOf, updateEntries,
+	dequeueRequest, applyShareAnswer, teamRatesOf, teamUsages, tickShares, type AdmissionState, type EntryShares, type OutgoingShareRequest,
 } from '@bitternpaddle/coordination';
 
 /** How the entries divide the limit: into equal shares, or with entries that lend unused shares to each other. */
@@ -60,7 +60,7 @@
 		}, nowMs);
 	};
 
-	const send = (from: Entry, {to, request}: ShareAsk): void => {
+	const send = (from: Entry, {to, request}: OutgoingShareRequest): void => {
 		const sentAtMs = nowMs;
 		schedule(networkDelayMs, () => {
 			const peer = entries[Number(to)];
@@ -76,7 +76,7 @@
 			apply(peer);
 			schedule(networkDelayMs, () => {
 				if (entries[from.index] === from) {
-					takeShareAnswer(from.shares, to, answer, {sentAtMs, nowMs});
+					applyShareAnswer(from.shares, to, answer, {sentAtMs, nowMs});
 					apply(from);
 				}
 			});
@@ -85,7 +85,7 @@
 
 	const sendEntryList = ({shares}: Entry): void => {
 		const listed = [...lastReportAtMs].filter(([, atMs]) => nowMs - atMs <= listedMs).map(([index]) => String(index));
-		takeEntries(shares, listed, {askedAtMs: nowMs, nowMs});
+		updateEntries(shares, listed, {askedAtMs: nowMs, nowMs});
 	};
 
 	const tick = (entry: Entry): void => {
@@ -99,7 +99,7 @@
 		}
 
 		const wasJoined = entry.shares.isJoined;
-		const asks = tickShares(entry.shares, teamUses(entry.admission), nowMs);
+		const asks = tickShares(entry.shares, teamUsages(entry.admission), nowMs);
 		apply(entry);
 		if (!wasJoined && entry.shares.isJoined && countEntries(entry.shares) === 1) {
 			fillBuckets(entry.admission);
@@ -149,7 +149,7 @@
 				return false;
 			}
 
-			takeRequest(admission, 'm', nowMs);
+			dequeueRequest(admission, 'm', nowMs);
 			finishRequest(admission, requestId, {hasRun: true}, nowMs);
 			return true;
 		},
--- a/packages/bench/src/routing/policies.ts
+++ b/packages/bench/src/routing/policies.ts
@@ -1,6 +1,6 @@
 import {
-	cancelRequest, chooseEndpoint, createAdmission, createRandom, createRetryBudget, createRouter, finishRequest, hasRoom, noteEnd, noteFirstByte, noteFreshRequest,
-	noteLoadReport, noteStart, offerRequest, returnToQueue, setEntries, setShares, takeRequest, takeRetry, tickAdmission, tickRouter, updateRouter, waitingFor,
+	cancelRequest, chooseEndpoint, createAdmission, createRandom, createRetryBudget, createRouter, finishRequest, hasSpareSlots, recordEnd, recordFirstByte, recordFirstAttempt,
+	recordLoadReport, recordStart, offerRequest, returnToQueue, setEntries, setShares, dequeueRequest, takeRetry, tickAdmission, tickRouter, updateRouter, waitingCount,
 	type RouterOptions,
 } from '@bitternpaddle/coordination';
 import {createBenchCatalog} from './catalog.js';
@@ -42,7 +42,7 @@
 	const targetKey = 'm';
 
 	const report = (endpoint: ModelEndpoint): void => {
-		noteLoadReport(router, endpoint.hostId, simulation.report(endpoint), simulation.nowMs());
+		recordLoadReport(router, endpoint.hostId, simulation.report(endpoint), simulation.nowMs());
 	};
 
 	const finish = (request: BenchRequest, hasRun: boolean): void => {
@@ -73,17 +73,17 @@
 		let hadFirstByte = false;
 		let latencyMs = 0;
 		request.attempts++;
-		noteStart(router, hostId, sentAtMs);
+		recordStart(router, hostId, sentAtMs);
 		simulation.send({
 			request, endpoint, canQueue: false,
 			onFirstByte() {
 				hadFirstByte = true;
 				latencyMs = simulation.nowMs() - sentAtMs;
-				noteFirstByte(router, hostId, simulation.nowMs());
+				recordFirstByte(router, hostId, simulation.nowMs());
 				report(endpoint);
 			},
 			onEnd(outcome) {
-				noteEnd(router, hostId, {outcome: outcome === 'answered' ? {type: 'answered', latencyMs} : {type: outcome}, hadFirstByte}, simulation.nowMs());
+				recordEnd(router, hostId, {outcome: outcome === 'answered' ? {type: 'answered', latencyMs} : {type: outcome}, hadFirstByte}, simulation.nowMs());
 				handleOutcome(request, endpoint, outcome);
 				dispatchQueued();
 			},
@@ -106,8 +106,8 @@
 
 	const dispatchQueued = (): void => {
 		// At most one pass over the queue: a request that finds no free slot is returned to it.
-		for (let left = waitingFor(admission, targetKey); left > 0 && hasRoom(router, target); left--) {
-			const {request} = takeRequest(admission, targetKey, simulation.nowMs());
+		for (let left = waitingCount(admission, targetKey); left > 0 && hasSpareSlots(router, target); left--) {
+			const {request} = dequeueRequest(admission, targetKey, simulation.nowMs());
 			if (request === null) {
 				return;
 			}
@@ -126,7 +126,7 @@
 	tick();
 	return {
 		offer(request) {
-			noteFreshRequest(budget);
+			recordFirstAttempt(budget);
 			const {type} = offerRequest(admission, {
 				requestId: request.id, teamId: request.teamId, target: targetKey, cost: request.tokens + (request.promptTokens / 20), priority: 0, deadlineAtMs: request.deadlineAtMs,
 			}, simulation.nowMs());
--- a/packages/coordination/src/admission/admission.ts
+++ b/packages/coordination/src/admission/admission.ts
@@ -184,7 +184,7 @@
 };
 
 /** Dequeues the next request in fair order; called when an endpoint has spare slots. */
-export const takeRequest = (state: AdmissionState, targetKey: string, nowMs: number): TakeResult => {
+export const dequeueRequest = (state: AdmissionState, targetKey: string, nowMs: number): TakeResult => {
 	const refused: AdmissionRefusal[] = [];
 	const target = state.targets.get(targetKey);
 	for (;;) {
@@ -299,4 +299,4 @@
 };
 
 /** Number of requests queued for a target. */
-export const waitingFor = (state: AdmissionState, targetKey: string): number => state.targets.get(targetKey)?.queue.count ?? 0;
+export const waitingCount = (state: AdmissionState, targetKey: string): number => state.targets.get(targetKey)?.queue.count ?? 0;
--- a/packages/coordination/src/admission/entry-shares.ts
+++ b/packages/coordination/src/admission/entry-shares.ts
@@ -62,7 +62,7 @@
 	/** When control started listing this entry; `null` while it is not listed. */
 	listedSinceMs: number | null;
 	/** When the last request to control whose response listed this entry was sent. */
-	namedAtMs: number;
+	lastListedAtMs: number;
 	isJoined: boolean;
 	lastRequestsAtMs: number;
 };
@@ -72,7 +72,7 @@
 		loanMs: 3000, marginMs: 500, unlistedTimeoutMs: 12_000, requestIntervalMs: 1000, maxLenders: 16, ...options,
 	},
 	members: new Map(), teamRates: new Map(), needs: new Map(), loans: createLoans(),
-	listedSinceMs: null, namedAtMs: Number.NEGATIVE_INFINITY, isJoined: false, lastRequestsAtMs: Number.NEGATIVE_INFINITY,
+	listedSinceMs: null, lastListedAtMs: Number.NEGATIVE_INFINITY, isJoined: false, lastRequestsAtMs: Number.NEGATIVE_INFINITY,
 });
 
 /** Sets the fleet-wide rate of each team, in tokens per second. */
@@ -98,11 +98,11 @@
  * no longer listed keeps counting for a while: it may still be spending its
  * share, or a newly elected leader may not have received its report yet.
  */
-export const takeEntries = (state: EntryShares, entryIds: readonly string[], {askedAtMs, nowMs}: {readonly askedAtMs: number; readonly nowMs: number}): void => {
+export const updateEntries = (state: EntryShares, entryIds: readonly string[], {askedAtMs, nowMs}: {readonly askedAtMs: number; readonly nowMs: number}): void => {
 	const {entryId: ownId} = state.options;
 	if (entryIds.includes(ownId)) {
 		state.listedSinceMs ??= nowMs;
-		state.namedAtMs = Math.max(state.namedAtMs, askedAtMs);
+		state.lastListedAtMs = Math.max(state.lastListedAtMs, askedAtMs);
 	}
 
 	const listed = new Set(entryIds);
@@ -187,7 +187,7 @@
 	- committedRate(state.loans, teamId, nowMs);
 
 /** Applies another entry's answer to a request that was sent at `sentAtMs`. */
-export const takeShareAnswer = (state: EntryShares, from: string, answer: ShareAnswer, {sentAtMs, nowMs}: {readonly sentAtMs: number; readonly nowMs: number}): void => {
+export const applyShareAnswer = (state: EntryShares, from: string, answer: ShareAnswer, {sentAtMs, nowMs}: {readonly sentAtMs: number; readonly nowMs: number}): void => {
 	const member = state.members.get(from);
 	if (member === undefined || answer.incarnation < member.incarnation || !answer.isCounted) {
 		return;
@@ -214,7 +214,7 @@
  * otherwise its share would be spent twice.
  */
 const leaveIfUnlisted = (state: EntryShares, nowMs: number): void => {
-	if (state.listedSinceMs === null || nowMs - state.namedAtMs < state.options.unlistedTimeoutMs) {
+	if (state.listedSinceMs === null || nowMs - state.lastListedAtMs < state.options.unlistedTimeoutMs) {
 		return;
 	}
 
@@ -237,10 +237,10 @@
 };
 
 /** A loan request and the entry to send it to. */
-export type ShareAsk = {readonly to: string; readonly request: ShareRequest};
+export type OutgoingShareRequest = {readonly to: string; readonly request: ShareRequest};
 
 /** Called once or twice per second with the teams' usage; returns the loan requests to send. */
-export const tickShares = (state: EntryShares, usages: ReadonlyMap<string, TeamUsage>, nowMs: number): ShareAsk[] => {
+export const tickShares = (state: EntryShares, usages: ReadonlyMap<string, TeamUsage>, nowMs: number): OutgoingShareRequest[] => {
 	const elapsedMs = nowMs - state.lastRequestsAtMs;
 	pruneLoans(state.loans, nowMs);
 	removeExpiredMembers(state, nowMs);
@@ -262,7 +262,7 @@
 	const plan = planLoans(state.loans, {
 		memberIds: [...state.members.keys()], shortfall, maxLenders: state.options.maxLenders, nowMs,
 	});
-	const requests: ShareAsk[] = [];
+	const requests: OutgoingShareRequest[] = [];
 	const isJoining = !state.isJoined && state.listedSinceMs !== null && state.teamRates.size > 0;
 	for (const [to, {readyAtMs}] of state.members) {
 		const wants = plan.get(to);
--- a/packages/coordination/src/admission/retry-budget.ts
+++ b/packages/coordination/src/admission/retry-budget.ts
@@ -25,7 +25,7 @@
 	share, reservePerSecond, most, level: Math.min(most, 10), refilledAtMs: nowMs,
 });
 
-export const noteFreshRequest = (budget: RetryBudget): void => {
+export const recordFirstAttempt = (budget: RetryBudget): void => {
 	budget.level = Math.min(budget.most, budget.level + budget.share);
 };
 
--- a/packages/coordination/src/admission/team-limits.ts
+++ b/packages/coordination/src/admission/team-limits.ts
@@ -12,7 +12,7 @@
 };
 
 /** Usage of each team that has a token bucket. */
-export const teamUses = ({teams}: AdmissionState): Map<string, TeamUsage> => {
+export const teamUsages = ({teams}: AdmissionState): Map<string, TeamUsage> => {
 	const usages = new Map<string, TeamUsage>();
 	for (const [teamId, {bucket, offered}] of teams) {
 		if (bucket !== null) {
--- a/packages/coordination/src/burn/burn-counter.ts
+++ b/packages/coordination/src/burn/burn-counter.ts
@@ -6,7 +6,7 @@
 	createLatencyHistogram, encodeHistogram, loadHistograms, recordLatency,
 } from './histogram.js';
 import {
-	addCounts, floorTo, hourMs, keptHours, retainedMinutes, retainedTenMinutes, minuteMs, zeroCounts, oldestStartMs, tenMinutesMs, type BurnCounts,
+	addCounts, floorTo, hourMs, retainedHours, retainedMinutes, retainedTenMinutes, minuteMs, zeroCounts, oldestStartMs, tenMinutesMs, type BurnCounts,
 } from './windows.js';
 
 /** One finished request that counts towards a service's objectives. */
@@ -16,7 +16,7 @@
 	/** When the request ended. */
 	readonly atMs: number;
 	/** Whether the caller received the complete response. */
-	readonly isWhole: boolean;
+	readonly isComplete: boolean;
 	/** Time to the first token; `null` if it was not measured. */
 	readonly firstTokenMs: number | null;
 	/** Upper bound that the objective sets for `firstTokenMs`. */
@@ -107,7 +107,7 @@
 	Object.assign(last, addCounts(last, countsFromSample(sample)));
 };
 
-const countsFromSample = ({isWhole, firstTokenMs, firstTokenBoundMs}: BurnSample): BurnCounts => ({
+const countsFromSample = ({isComplete: isWhole, firstTokenMs, firstTokenBoundMs}: BurnSample): BurnCounts => ({
 	total: 1,
 	notWhole: isWhole ? 0 : 1,
 	timed: firstTokenMs === null ? 0 : 1,
@@ -139,7 +139,7 @@
 
 	if (latency.open !== null) {
 		latency.hours.push({startMs: latency.open.startMs, encoded: encodeHistogram(latency.open.histogram)});
-		dropOlderThan(latency.hours, oldestStartMs(atMs, hourMs, keptHours));
+		dropOlderThan(latency.hours, oldestStartMs(atMs, hourMs, retainedHours));
 	}
 
 	latency.open = {startMs, histogram: createLatencyHistogram()};
@@ -155,7 +155,7 @@
 		tenMinutes: startingFrom(series.tenMinutes, oldestStartMs(nowMs, tenMinutesMs, retainedTenMinutes)),
 	})),
 	latencies: [...counter.latencies].map(([serviceId, latency]): LatencySeries => ({
-		serviceId, hours: startingFrom(encodedHours(latency), oldestStartMs(nowMs, hourMs, keptHours)),
+		serviceId, hours: startingFrom(encodedHours(latency), oldestStartMs(nowMs, hourMs, retainedHours)),
 	})),
 });
 
--- a/packages/coordination/src/burn/windows.ts
+++ b/packages/coordination/src/burn/windows.ts
@@ -7,7 +7,7 @@
 /** Number of retained buckets of each length; they cover the windows that are read from them. */
 export const retainedMinutes = 60;
 export const retainedTenMinutes = 432;
-export const keptHours = 72;
+export const retainedHours = 72;
 
 export type BurnWindowName = '5m' | '1h' | '6h' | '3d';
 
--- a/packages/coordination/src/configuration/host-configuration.ts
+++ b/packages/coordination/src/configuration/host-configuration.ts
@@ -38,7 +38,7 @@
  * An older revision is rejected: a control host that lags, or a late answer,
  * must not revert the host to a configuration that was already replaced.
  */
-export const takeWatchResult = (configuration: HostConfiguration, result: WatchResult, sentAt: HostTime): WatchOutcome => {
+export const applyWatchResult = (configuration: HostConfiguration, result: WatchResult, sentAt: HostTime): WatchOutcome => {
 	if (result.type === 'unknownHost') {
 		return 'unknownHost';
 	}
--- a/packages/coordination/src/configuration/lease-times.ts
+++ b/packages/coordination/src/configuration/lease-times.ts
@@ -12,19 +12,19 @@
 	/** Duration of a host's lease, starting when the host sends its watch call. */
 	hostLeaseMs: 2500,
 	/** Duration of the lease that the leader grants to a control host for answering watches, starting when the control host sends its request. */
-	wordMs: 2500,
+	leaderLeaseMs: 2500,
 	/** Interval at which a control host sends requests to the leader. */
-	askMs: 250,
+	leaderRequestIntervalMs: 250,
 	/** Timeout of a request to the leader. */
-	askTimeoutMs: 750,
+	leaderRequestTimeoutMs: 750,
 	/** Maximum time for which a control host holds a watch call (long poll). */
 	holdMs: 600,
 	/** A call times out this long after the control host should have answered. */
 	responseGraceMs: 500,
 	/** The same for an answer that may contain a complete snapshot, and for calls after the lease is lost. */
-	patientAnswerMs: 1500,
+	longResponseGraceMs: 1500,
 	/** Delay of a host after a failed call. */
-	retryMs: 100,
+	retryDelayMs: 100,
 	/** Minimum hold time, used after a failed call or when the lease is about to expire. */
 	minHoldMs: 100,
 } as const;
@@ -51,9 +51,9 @@
  */
 export const watchCallTimes = ({hasCopy, leaseLeftMs, failuresInARow, holdMs = leaseTimes.holdMs}: WatchCallContext): WatchCallTimes => {
 	if (!hasCopy) {
-		return {holdMs, timeoutMs: holdMs + leaseTimes.patientAnswerMs};
+		return {holdMs, timeoutMs: holdMs + leaseTimes.longResponseGraceMs};
 	}
 
 	const heldMs = Math.min(holdMs, failuresInARow === 0 ? Math.max(leaseTimes.minHoldMs, Math.floor(leaseLeftMs / 2)) : leaseTimes.minHoldMs);
-	return {holdMs: heldMs, timeoutMs: heldMs + (failuresInARow === 0 ? leaseTimes.responseGraceMs : leaseTimes.patientAnswerMs)};
+	return {holdMs: heldMs, timeoutMs: heldMs + (failuresInARow === 0 ? leaseTimes.responseGraceMs : leaseTimes.longResponseGraceMs)};
 };
--- a/packages/coordination/src/configuration/presence.ts
+++ b/packages/coordination/src/configuration/presence.ts
@@ -1,4 +1,4 @@
-import type {Fold, HostReport, InForceResult} from '@bitternpaddle/protocol';
+import type {ReportAggregate, HostReport, InForceResult} from '@bitternpaddle/protocol';
 
 /** The leader's view of a control host. */
 export type MemberPresence = {
@@ -60,7 +60,7 @@
  * that its sender abandoned belongs to an earlier epoch and is rejected: it
  * could count hosts at a later revision than they have now.
  */
-export const hearFold = (presence: Presence, aggregate: Fold, nowMs: number): boolean => {
+export const recordAggregate = (presence: Presence, aggregate: ReportAggregate, nowMs: number): boolean => {
 	const existing = presence.members.get(aggregate.from);
 	const isNext = aggregate.sequence === 0
 		? existing === undefined || aggregate.epoch > existing.epoch
@@ -103,7 +103,7 @@
 	}
 };
 
-const recordHost = (presence: Presence, memberId: string, {session, report}: Fold['hosts'][number]): void => {
+const recordHost = (presence: Presence, memberId: string, {session, report}: ReportAggregate['hosts'][number]): void => {
 	const {hostId} = report;
 	const existing = presence.hosts.get(hostId);
 	if (existing !== undefined && existing.session > session) {
@@ -132,7 +132,7 @@
 };
 
 /** Marks the hosts of silent control hosts as silent, unless another control host has reported them. */
-export const noteSilentMembers = (presence: Presence, nowMs: number): void => {
+export const markSilentMembers = (presence: Presence, nowMs: number): void => {
 	for (const [memberId, member] of presence.members) {
 		if (nowMs - member.receivedAtMs <= presence.options.memberLeaseMs) {
 			continue;
--- a/packages/coordination/src/configuration/report-fold.ts
+++ b/packages/coordination/src/configuration/report-fold.ts
@@ -1,4 +1,4 @@
-import type {Fold, HostReport} from '@bitternpaddle/protocol';
+import type {ReportAggregate, HostReport} from '@bitternpaddle/protocol';
 import {leaseTimes} from './lease-times.js';
 
 type Watcher = {
@@ -15,12 +15,12 @@
 };
 
 /** Aggregates the reports of the hosts that watch at one control host, and tracks what was sent to the leader. */
-export type ReportFold = {
+export type ReportAggregator = {
 	readonly memberId: string;
 	/** A host that has not called for this long has no lease any more. */
 	readonly silentMs: number;
 	readonly watchers: Map<string, Watcher>;
-	readonly silentHosts: Fold['silent'];
+	readonly silentHosts: ReportAggregate['silent'];
 	epoch: number;
 	/** Sequence number of the next message; 0 if it must be a full report. */
 	sequence: number;
@@ -33,7 +33,7 @@
 /** Maximum number of hosts below the common revision that one message lists. */
 const maxBehind = 32;
 /** Slightly below the interval of requests to the leader, each of which carries a message: a timer that fires early must not skip one. */
-export const aggregateIntervalMs = 0.8 * leaseTimes.askMs;
+export const aggregateIntervalMs = 0.8 * leaseTimes.leaderRequestIntervalMs;
 
 export type ReportAggregatorOptions = {
 	readonly memberId: string;
@@ -42,7 +42,7 @@
 	readonly epoch: number;
 };
 
-export const createReportFold = ({memberId, silentMs, epoch}: ReportAggregatorOptions): ReportFold => ({
+export const createReportAggregator = ({memberId, silentMs, epoch}: ReportAggregatorOptions): ReportAggregator => ({
 	memberId, silentMs, epoch, watchers: new Map(), silentHosts: [], sequence: 0, sentAtMs: Number.NEGATIVE_INFINITY, sentRevision: 0, sentBehindCount: 0,
 });
 
@@ -57,7 +57,7 @@
 };
 
 /** Records a watch call of a host. Returns `false` if the call must be repeated with the host's report. */
-export const hearWatch = (aggregator: ReportFold, {hostId, session, revision, report}: ReceivedWatch, nowMs: number): boolean => {
+export const recordWatch = (aggregator: ReportAggregator, {hostId, session, revision, report}: ReceivedWatch, nowMs: number): boolean => {
 	const existing = aggregator.watchers.get(hostId);
 	if (report === null) {
 		if (existing?.session !== session) {
@@ -81,7 +81,7 @@
 };
 
 /** Makes the next message a full report, because it is unknown whether the leader received the last one. */
-export const restartFold = (aggregator: ReportFold): void => {
+export const restartAggregator = (aggregator: ReportAggregator): void => {
 	aggregator.epoch++;
 	aggregator.sequence = 0;
 	aggregator.silentHosts.length = 0;
@@ -95,14 +95,14 @@
  * the host's replica as not ready, although it serves, until the newer report
  * arrives. A host that still watches here calls again within the hold time.
  */
-export const startFoldForLeader = (aggregator: ReportFold): void => {
-	restartFold(aggregator);
+export const restartAggregatorForLeader = (aggregator: ReportAggregator): void => {
+	restartAggregator(aggregator);
 	for (const watcher of aggregator.watchers.values()) {
 		watcher.isCurrent = false;
 	}
 };
 
-const dropSilentWatchers = (aggregator: ReportFold, nowMs: number): void => {
+const dropSilentWatchers = (aggregator: ReportAggregator, nowMs: number): void => {
 	for (const [hostId, {session, receivedAtMs}] of aggregator.watchers) {
 		if (nowMs - receivedAtMs > aggregator.silentMs) {
 			aggregator.watchers.delete(hostId);
@@ -120,7 +120,7 @@
  * Returns the next message to the leader, or `null` if there is nothing to
  * report. The caller sends it, and calls `restartAggregator` if that fails.
  */
-export const takeFold = (aggregator: ReportFold, nowMs: number): Fold | null => {
+export const takeAggregate = (aggregator: ReportAggregator, nowMs: number): ReportAggregate | null => {
 	dropSilentWatchers(aggregator, nowMs);
 	const isFullReport = aggregator.sequence === 0;
 	const watchers = [...aggregator.watchers].filter(([, {isCurrent}]) => isCurrent);
@@ -134,7 +134,7 @@
 		return null;
 	}
 
-	const message: Fold = {
+	const message: ReportAggregate = {
 		from: aggregator.memberId,
 		epoch: aggregator.epoch,
 		sequence: aggregator.sequence,
--- a/packages/coordination/src/configuration/watch-grant.ts
+++ b/packages/coordination/src/configuration/watch-grant.ts
@@ -1,14 +1,14 @@
 /** The latest lease that the leader granted to a control host; the control host may renew its hosts' leases until `untilMs`. */
-export type LeaderWord = {
+export type LeaderLease = {
 	/** When this control host sent the request, by its own clock. */
-	readonly askedAtMs: number;
+	readonly requestedAtMs: number;
 	readonly untilMs: number;
 	/** The leader's revision at some time after `requestedAtMs`. */
 	readonly revision: number;
 };
 
 export type WatchDecisionOptions = {
-	readonly word: LeaderWord | null;
+	readonly leaderLease: LeaderLease | null;
 	/** Revision of this control host's copy. */
 	readonly ownRevision: number;
 	readonly hostRevision: number;
@@ -41,12 +41,12 @@
  * after the call had arrived: everything that the host served before its
  * restart was committed by then.
  */
-export const decideWatch = ({word: grant, ownRevision, hostRevision, arrivedAtMs, nowMs}: WatchDecisionOptions): WatchDecision => {
+export const decideWatch = ({leaderLease: grant, ownRevision, hostRevision, arrivedAtMs, nowMs}: WatchDecisionOptions): WatchDecision => {
 	if (grant === null || nowMs >= grant.untilMs) {
 		return 'noContact';
 	}
 
-	const isConfirmed = hostRevision > 0 || grant.askedAtMs > arrivedAtMs;
+	const isConfirmed = hostRevision > 0 || grant.requestedAtMs > arrivedAtMs;
 	if (!isConfirmed || ownRevision < grant.revision || ownRevision < hostRevision) {
 		return 'wait';
 	}
@@ -55,7 +55,7 @@
 };
 
 export type LeaseGrantOptions = {
-	readonly word: LeaderWord;
+	readonly lease: LeaderLease;
 	readonly hostLeaseMs: number;
 	/** When the call arrived at this control host. */
 	readonly arrivedAtMs: number;
@@ -69,4 +69,4 @@
  * from when it sent the call, which is not after its arrival, so no common
  * clock is needed. 0 if the leader's lease expired before the call arrived.
  */
-export const grantedLeaseMs = ({word: grant, hostLeaseMs, arrivedAtMs}: LeaseGrantOptions): number => Math.max(0, Math.min(hostLeaseMs, grant.untilMs - arrivedAtMs));
+export const grantedLeaseMs = ({lease: grant, hostLeaseMs, arrivedAtMs}: LeaseGrantOptions): number => Math.max(0, Math.min(hostLeaseMs, grant.untilMs - arrivedAtMs));
--- a/packages/coordination/src/consensus/create-consensus.ts
+++ b/packages/coordination/src/consensus/create-consensus.ts
@@ -36,7 +36,7 @@
 		heartbeatDueAtMs: nowMs,
 		votes: new Set(),
 		peers: new Map(),
-		transferSinceMs: null,
+		transferStartedAtMs: null,
 	};
 	state.members = membersInLog(state);
 	return state;
--- a/packages/coordination/src/consensus/elect.ts
+++ b/packages/coordination/src/consensus/elect.ts
@@ -17,7 +17,7 @@
 export const changeRole = (state: ConsensusState, role: ConsensusRole, leaderId: string | null): ConsensusEffect[] => {
 	const isSame = state.role === role && state.leaderId === leaderId;
 	state.role = role;
-	state.transferSinceMs = null;
+	state.transferStartedAtMs = null;
 	state.leaderId = leaderId;
 	return isSame
 		? []
--- a/packages/coordination/src/consensus/lead.ts
+++ b/packages/coordination/src/consensus/lead.ts
@@ -1,7 +1,7 @@
 import type {ConsensusMessage} from '@bitternpaddle/protocol';
 import type {LogEntry, Members} from '@bitternpaddle/state';
 import {adoptTerm, changeRole, resetElectionTimer} from './elect.js';
-import {hasCommittedInOwnTerm, quorumHeardAtMs} from './lease.js';
+import {hasCommittedInOwnTerm, quorumConfirmedAtMs} from './lease.js';
 import {membersIndexInLog, snapshotIndexOf} from './log.js';
 import {
 	advanceCommit, appendOwn, broadcastAppend, sendAppend,
@@ -16,7 +16,7 @@
 		return [{type: 'rejected', token, reason: 'notLeader'}];
 	}
 
-	if (state.transferSinceMs !== null) {
+	if (state.transferStartedAtMs !== null) {
 		return [{type: 'rejected', token, reason: 'handingOver'}];
 	}
 
@@ -95,7 +95,7 @@
 export const onLeaderTick = (state: ConsensusState, nowMs: number): ConsensusEffect[] => {
 	abortOverdueTransfer(state, nowMs);
 	// A leader without a quorum steps down, so that its hosts look for another leader and its callers get an error instead of no response.
-	if (nowMs - quorumHeardAtMs(state, nowMs) > state.options.electionTimeoutMs && nowMs >= state.electionDueAtMs) {
+	if (nowMs - quorumConfirmedAtMs(state, nowMs) > state.options.electionTimeoutMs && nowMs >= state.electionDueAtMs) {
 		resetElectionTimer(state, nowMs);
 		return changeRole(state, 'follower', null);
 	}
--- a/packages/coordination/src/consensus/lease.ts
+++ b/packages/coordination/src/consensus/lease.ts
@@ -5,7 +5,7 @@
 export const hasCommittedInOwnTerm = (state: ConsensusState): boolean => termAt(state, state.commitIndex) === state.term;
 
 /** The latest time at which a quorum, including this host, is known to have followed the leader. */
-export const quorumHeardAtMs = (state: ConsensusState, nowMs: number): number => {
+export const quorumConfirmedAtMs = (state: ConsensusState, nowMs: number): number => {
 	const contactTimes = state.members.voters
 		.map(voter => voter === state.selfId ? nowMs : state.peers.get(voter)?.acknowledgedSentAtMs ?? Number.NEGATIVE_INFINITY)
 		.toSorted((a, b) => b - a);
@@ -19,7 +19,7 @@
  * changes. The lease expires before any voter may elect another leader.
  */
 export const hasLeaderLease = (state: ConsensusState, nowMs: number): boolean => state.role === 'leader'
-	&& nowMs < quorumHeardAtMs(state, nowMs) + state.options.leaseMs
+	&& nowMs < quorumConfirmedAtMs(state, nowMs) + state.options.leaseMs
 	&& hasCommittedInOwnTerm(state);
 
 /**
--- a/packages/coordination/src/consensus/transfer.ts
+++ b/packages/coordination/src/consensus/transfer.ts
@@ -16,11 +16,11 @@
  */
 export const onTransferLeadership = (state: ConsensusState, nowMs: number): ConsensusEffect[] => {
 	const hasTarget = state.members.voters.some(voter => voter !== state.selfId);
-	if (state.role !== 'leader' || state.transferSinceMs !== null || !hasTarget) {
+	if (state.role !== 'leader' || state.transferStartedAtMs !== null || !hasTarget) {
 		return [];
 	}
 
-	state.transferSinceMs = nowMs;
+	state.transferStartedAtMs = nowMs;
 	return broadcastAppend(state, 'heartbeat', nowMs);
 };
 
@@ -43,7 +43,7 @@
  * concurrently with the next leader.
  */
 export const advanceTransfer = (state: ConsensusState, nowMs: number): ConsensusEffect[] => {
-	const {transferSinceMs: startedAtMs, term} = state;
+	const {transferStartedAtMs: startedAtMs, term} = state;
 	if (startedAtMs === null || state.commitIndex < lastIndexOf(state)) {
 		return [];
 	}
@@ -64,8 +64,8 @@
 
 /** Aborts a transfer for which no voter became ready in time. No request to start an election was sent, so the leader can continue. */
 export const abortOverdueTransfer = (state: ConsensusState, nowMs: number): void => {
-	if (state.transferSinceMs !== null && nowMs - state.transferSinceMs > state.options.electionTimeoutMs) {
-		state.transferSinceMs = null;
+	if (state.transferStartedAtMs !== null && nowMs - state.transferStartedAtMs > state.options.electionTimeoutMs) {
+		state.transferStartedAtMs = null;
 	}
 };
 
--- a/packages/coordination/src/consensus/types.ts
+++ b/packages/coordination/src/consensus/types.ts
@@ -80,7 +80,7 @@
 	votes: Set<string>;
 	peers: Map<string, PeerProgress>;
 	/** When the current leadership transfer started; `null` if there is none. */
-	transferSinceMs: number | null;
+	transferStartedAtMs: number | null;
 };
 
 export type ConsensusEvent
--- a/packages/coordination/src/door/door.ts
+++ b/packages/coordination/src/door/door.ts
@@ -3,7 +3,7 @@
  * id starts at most once. An id that is resolved before it has started is barred,
  * so that "not run" stays true if the request itself arrives late.
  */
-export type DoorState = {
+export type RequestGate = {
 	readonly records: Map<string, GateEntry>;
 	/** Ids of ended requests in the order of their end; the oldest are evicted first. */
 	readonly ended: string[];
@@ -26,7 +26,7 @@
 export type GateIssue = {readonly sender: string; readonly sequence: number};
 
 /** A request as identified by the gate. */
-export type DoorRequest = {readonly attemptId: string; readonly incarnation: number; readonly issue: GateIssue};
+export type GateRequest = {readonly attemptId: string; readonly incarnation: number; readonly issue: GateIssue};
 
 export type RequestGateOptions = {
 	readonly capacity: number;
@@ -37,17 +37,17 @@
 	readonly maxRetainedSenders?: number;
 };
 
-export const createDoor = ({capacity, incarnation, maxRetainedRecords = 10_000, maxRetainedSenders = 1024}: RequestGateOptions): DoorState => ({
+export const createRequestGate = ({capacity, incarnation, maxRetainedRecords = 10_000, maxRetainedSenders = 1024}: RequestGateOptions): RequestGate => ({
 	records: new Map(), ended: [], highestForgotten: new Map(), capacity, incarnation, maxRetainedRecords, maxRetainedSenders, running: 0, isClosing: false,
 });
 
-export type DoorRefusal = 'duplicate' | 'forgotten' | 'barred' | 'otherIncarnation' | 'closing' | 'full';
+export type GateRefusal = 'duplicate' | 'forgotten' | 'barred' | 'otherIncarnation' | 'closing' | 'full';
 
 export type GateDecision
 	= | {readonly type: 'start'}
-		| {readonly type: 'refuse'; readonly reason: DoorRefusal};
+		| {readonly type: 'refuse'; readonly reason: GateRefusal};
 
-export const admitAtDoor = (state: DoorState, request: DoorRequest): GateDecision => {
+export const admitAtGate = (state: RequestGate, request: GateRequest): GateDecision => {
 	const {attemptId, incarnation, issue} = request;
 	if (incarnation !== state.incarnation) {
 		return {type: 'refuse', reason: 'otherIncarnation'};
@@ -78,7 +78,7 @@
 };
 
 /** Records the end of a started request; `ran` unless the endpoint proved that it never began. */
-export const finishAtDoor = (state: DoorState, attemptId: string, outcome: 'ran' | 'notRun'): void => {
+export const finishAtGate = (state: RequestGate, attemptId: string, outcome: 'ran' | 'notRun'): void => {
 	const entry = state.records.get(attemptId);
 	if (entry?.record !== 'running') {
 		return;
@@ -94,7 +94,7 @@
  * A gate of another incarnation, or one that has evicted the record, returns
  * `unknown`: the request may have started without any remaining record of it.
  */
-export const settleAtDoor = (state: DoorState, {attemptId, incarnation, issue}: DoorRequest): GateRecord | 'unknown' => {
+export const resolveAtGate = (state: RequestGate, {attemptId, incarnation, issue}: GateRequest): GateRecord | 'unknown' => {
 	if (incarnation !== state.incarnation) {
 		return 'unknown';
 	}
@@ -113,16 +113,16 @@
 	return 'notRun';
 };
 
-const isForgotten = ({highestForgotten}: DoorState, {sender, sequence}: GateIssue): boolean => sequence <= (highestForgotten.get(sender) ?? -1);
+const isForgotten = ({highestForgotten}: RequestGate, {sender, sequence}: GateIssue): boolean => sequence <= (highestForgotten.get(sender) ?? -1);
 
-const recordEnded = (state: DoorState, attemptId: string): void => {
+const recordEnded = (state: RequestGate, attemptId: string): void => {
 	state.ended.push(attemptId);
 	while (state.ended.length > state.maxRetainedRecords) {
 		evictRecord(state, state.ended.shift()!);
 	}
 };
 
-const evictRecord = ({records, highestForgotten, maxRetainedSenders}: DoorState, attemptId: string): void => {
+const evictRecord = ({records, highestForgotten, maxRetainedSenders}: RequestGate, attemptId: string): void => {
 	const {sender, sequence} = records.get(attemptId)!.issue;
 	records.delete(attemptId);
 	const highestSequence = Math.max(sequence, highestForgotten.get(sender) ?? -1);
--- a/packages/coordination/src/door/supervise.ts
+++ b/packages/coordination/src/door/supervise.ts
@@ -18,14 +18,14 @@
 	readonly unattendedMs: number;
 };
 
-export type EndCause = 'endpointSilent' | 'deadline' | 'unattended';
+export type TerminationCause = 'endpointSilent' | 'deadline' | 'unattended';
 
 /**
  * Why a run must be terminated now, or `null`. Every run is bounded: otherwise one
  * request stuck at an unresponsive engine would hold its slot forever, and a
  * version switch, which waits for all runs, would never happen.
  */
-export const causeToEnd = (run: RunStatus, {endpointIdleMs, unattendedMs}: RunLimits, nowMs: number): EndCause | null => {
+export const terminationCause = (run: RunStatus, {endpointIdleMs, unattendedMs}: RunLimits, nowMs: number): TerminationCause | null => {
 	if (!run.isHeldBack && nowMs - run.lastByteAtMs >= endpointIdleMs) {
 		return 'endpointSilent';
 	}
--- a/packages/coordination/src/endpoint-limits/limit-ledger.ts
+++ b/packages/coordination/src/endpoint-limits/limit-ledger.ts
@@ -18,7 +18,7 @@
 export type KnownLimit = {
 	/** `null`: the limit was released. */
 	readonly perSecond: number | null;
-	readonly heardAtMs: number;
+	readonly receivedAtMs: number;
 	/** When `perSecond` took its current value. */
 	readonly sinceMs: number;
 	/** When the first answer without the limit was received; `null` while the endpoint advertises it. */
@@ -63,10 +63,10 @@
 export const limitOf = ({limits}: LimitLedger, start: EndpointStart): number | null => limits.get(start)?.perSecond ?? null;
 
 /** Updates the limit from the head of an answer; returns `null` if the limit did not change. */
-export const noteLimitAnswer = (ledger: LimitLedger, {start, notice, hasRun, sentAtMs}: LimitAnswer, nowMs: number): LimitChange | null => {
+export const recordLimitAnswer = (ledger: LimitLedger, {start, notice, hasRun, sentAtMs}: LimitAnswer, nowMs: number): LimitChange | null => {
 	const known = ledger.limits.get(start);
 	// Answers can arrive out of order: a limit is raised or released only by an answer to a request sent after the known limit was received.
-	const isCurrent = known === undefined || sentAtMs >= known.heardAtMs;
+	const isCurrent = known === undefined || sentAtMs >= known.receivedAtMs;
 	switch (notice.type) {
 		case 'limited': {
 			const isHigher = known !== undefined && known.perSecond !== null && notice.perSecond > known.perSecond;
@@ -93,7 +93,7 @@
 	const isSame = previousPerSecond === perSecond;
 	const unadvertisedSinceMs = before?.unadvertisedSinceMs ?? null;
 	const known: KnownLimit = {
-		perSecond, heardAtMs: Math.max(atMs, before?.heardAtMs ?? atMs), sinceMs: isSame ? before?.sinceMs ?? atMs : atMs,
+		perSecond, receivedAtMs: Math.max(atMs, before?.receivedAtMs ?? atMs), sinceMs: isSame ? before?.sinceMs ?? atMs : atMs,
 		unadvertisedSinceMs: isSame && unadvertisedSinceMs !== null && unadvertisedSinceMs >= atMs ? unadvertisedSinceMs : null,
 	};
 	limits.set(start, known);
@@ -105,24 +105,24 @@
 };
 
 /** Releases the limits that endpoints no longer advertise; returns the changes. */
-export const releaseLimits = (ledger: LimitLedger, nowMs: number): LimitChange[] => [...ledger.limits].flatMap(([start, {perSecond, heardAtMs, unadvertisedSinceMs}]) => {
+export const releaseLimits = (ledger: LimitLedger, nowMs: number): LimitChange[] => [...ledger.limits].flatMap(([start, {perSecond, receivedAtMs: heardAtMs, unadvertisedSinceMs}]) => {
 	const isExpired = (unadvertisedSinceMs !== null && nowMs - unadvertisedSinceMs > releaseDelayMs) || nowMs - heardAtMs > limitExpiryMs;
 	const change = perSecond !== null && isExpired ? setLimit(ledger, start, null, nowMs) : null;
 	return change === null ? [] : [change];
 });
 
 /** A limit as shared between entries. */
-export type SharedLimit = {readonly start: EndpointStart; readonly perSecond: number | null; readonly heardAtMs: number};
+export type SharedLimit = {readonly start: EndpointStart; readonly perSecond: number | null; readonly advertisedAtMs: number};
 
 /** Updates the limit from another entry; returns `null` if the limit did not change. */
-export const noteSharedLimit = (ledger: LimitLedger, {start, perSecond, heardAtMs}: SharedLimit): LimitChange | null => {
+export const recordSharedLimit = (ledger: LimitLedger, {start, perSecond, advertisedAtMs: heardAtMs}: SharedLimit): LimitChange | null => {
 	const known = ledger.limits.get(start);
 	if (known === undefined) {
 		return setLimit(ledger, start, perSecond, heardAtMs);
 	}
 
 	// A limit that this entry shared can be returned by other entries and appear newer by the message delay.
-	const isNewer = heardAtMs - known.heardAtMs > (known.perSecond === perSecond ? messageDelayToleranceMs : 0);
+	const isNewer = heardAtMs - known.receivedAtMs > (known.perSecond === perSecond ? messageDelayToleranceMs : 0);
 	return isNewer ? setLimit(ledger, start, perSecond, heardAtMs) : null;
 };
 
@@ -132,11 +132,11 @@
 /** Returns the limits to send to other entries: those in force and those released recently. */
 export const limitsToShare = ({limits}: LimitLedger, nowMs: number): SharedLimit[] => [...limits]
 	.filter(([, {perSecond, sinceMs}]) => perSecond !== null || nowMs - sinceMs < releasedSharingMs)
-	.map(([start, {perSecond, heardAtMs}]) => ({start, perSecond, heardAtMs}));
+	.map(([start, {perSecond, receivedAtMs: heardAtMs}]) => ({start, perSecond, advertisedAtMs: heardAtMs}));
 
 /** Deletes released limits after the retention period. */
 export const pruneLimits = ({limits}: LimitLedger, nowMs: number): void => {
-	for (const [start, {perSecond, heardAtMs}] of limits) {
+	for (const [start, {perSecond, receivedAtMs: heardAtMs}] of limits) {
 		if (perSecond === null && nowMs - heardAtMs > releasedRetentionMs) {
 			limits.delete(start);
 		}
--- a/packages/coordination/src/endpoint-limits/permit-account.ts
+++ b/packages/coordination/src/endpoint-limits/permit-account.ts
@@ -1,4 +1,4 @@
-import {drawShare, type Random} from '../utils/random.js';
+import {randomFraction, type Random} from '../utils/random.js';
 import {permitRate, queueTimeoutMs, type PermitReply} from './permit-issuer.js';
 
 /** An entry's permits for one limited endpoint. */
@@ -93,7 +93,7 @@
 
 export const isIssuerSilent = ({unansweredSinceMs}: PermitAccount, nowMs: number): boolean => unansweredSinceMs !== null && nowMs - unansweredSinceMs > issuerTimeoutMs;
 
-export const notePermitReply = (account: PermitAccount, reply: PermitReply, nowMs: number): void => {
+export const recordPermitReply = (account: PermitAccount, reply: PermitReply, nowMs: number): void => {
 	account.unansweredSinceMs = null;
 	account.fallbackAtMs = null;
 	switch (reply.type) {
@@ -130,7 +130,7 @@
 const fallbackState = (account: PermitAccount, terms: PermitTerms, nowMs: number): PermitState => {
 	const gapMs = fallbackGapMs(terms);
 	if (account.fallbackAtMs === null || nowMs - account.fallbackAtMs > permitLifetimeMs) {
-		account.fallbackAtMs = nowMs + (gapMs * drawShare(terms.random));
+		account.fallbackAtMs = nowMs + (gapMs * randomFraction(terms.random));
 	}
 
 	return account.fallbackAtMs <= nowMs ? {type: 'available'} : {type: 'limited', nextAtMs: account.fallbackAtMs, gapMs};
--- a/packages/coordination/src/placement/arrival-rate.ts
+++ b/packages/coordination/src/placement/arrival-rate.ts
@@ -6,7 +6,7 @@
 
 export const createArrivalRate = (): ArrivalRate => ({perSecond: 0, updatedAtMs: Number.NEGATIVE_INFINITY});
 
-export const noteArrival = (rate: ArrivalRate, nowMs: number): void => {
+export const recordArrival = (rate: ArrivalRate, nowMs: number): void => {
 	rate.perSecond = arrivalsPerSecond(rate, nowMs) + (1000 / timeConstantMs);
 	rate.updatedAtMs = nowMs;
 };
--- a/packages/coordination/src/placement/caller-patience.ts
+++ b/packages/coordination/src/placement/caller-patience.ts
@@ -4,7 +4,7 @@
  * alone, most first attempts would look like retries, and would be queued behind the
  * others and refused first.
  */
-export type CallerPatience = {readonly deadlinesMs: number[]};
+export type FirstAttemptDeadlines = {readonly deadlinesMs: number[]};
 
 /** Enough to estimate the minimum within a thirtieth of the spread; at one request per second, about a minute of requests. */
 const maxDeadlines = 64;
@@ -13,13 +13,13 @@
 /** Share of the route's timeout that is assumed as the minimum until enough deadlines are known. Callers' own timeouts start up to a seventh below the route's. */
 const defaultTimeoutShare = 0.8;
 
-export const createCallerPatience = (): CallerPatience => ({deadlinesMs: []});
+export const createFirstAttemptDeadlines = (): FirstAttemptDeadlines => ({deadlinesMs: []});
 
 /**
  * Records the deadline of a confirmed first attempt: callers retry on new connections,
  * so a request on a reused connection is no retry.
  */
-export const noteFirstDeadline = ({deadlinesMs}: CallerPatience, deadlineMs: number): void => {
+export const recordFirstDeadline = ({deadlinesMs}: FirstAttemptDeadlines, deadlineMs: number): void => {
 	deadlinesMs.push(deadlineMs);
 	if (deadlinesMs.length > maxDeadlines) {
 		deadlinesMs.shift();
@@ -27,7 +27,7 @@
 };
 
 /** Whether a request whose caller waits for `deadlineMs` more is confirmed to be a retry. */
-export const hasComeBefore = ({deadlinesMs}: CallerPatience, {deadlineMs, timeoutMs}: {deadlineMs: number; timeoutMs: number}): boolean => {
+export const isCallerRetry = ({deadlinesMs}: FirstAttemptDeadlines, {deadlineMs, timeoutMs}: {deadlineMs: number; timeoutMs: number}): boolean => {
 	const minDeadlineMs = deadlinesMs.length < minDeadlines ? timeoutMs * defaultTimeoutShare : Math.min(...deadlinesMs);
 	return deadlineMs < minDeadlineMs;
 };
--- a/packages/coordination/src/placement/endpoint-health.ts
+++ b/packages/coordination/src/placement/endpoint-health.ts
@@ -4,8 +4,8 @@
 	failureShare: number;
 	consecutiveFailures: number;
 	/** Until this time, the endpoint is chosen only if no other is available. */
-	restUntilMs: number;
-	rests: number;
+	backoffUntilMs: number;
+	backoffCount: number;
 };
 
 /** Weight of one outcome in the moving average: ten outcomes distinguish an endpoint that fails two requests in five from one that fails one in seven. */
@@ -20,17 +20,17 @@
 const unreachableBackoffMs = 250;
 
 export const createEndpointHealth = (): EndpointHealth => ({
-	failureShare: 0, consecutiveFailures: 0, restUntilMs: 0, rests: 0,
+	failureShare: 0, consecutiveFailures: 0, backoffUntilMs: 0, backoffCount: 0,
 });
 
-export const noteSuccess = (health: EndpointHealth): void => {
+export const recordSuccess = (health: EndpointHealth): void => {
 	health.failureShare *= 1 - outcomeWeight;
 	health.consecutiveFailures = 0;
-	health.rests = 0;
+	health.backoffCount = 0;
 };
 
 /** `usualShare` is the share of failures over all endpoints of the service, which indicates no fault of this one. Returns `true` if a backoff begins. */
-export const noteFailure = (health: EndpointHealth, usualShare: number, nowMs: number): boolean => {
+export const recordFailure = (health: EndpointHealth, usualShare: number, nowMs: number): boolean => {
 	health.failureShare += outcomeWeight * (1 - health.failureShare);
 	health.consecutiveFailures++;
 	const isWorse = health.failureShare > Math.max(failureShareToBackOff, 2 * usualShare);
@@ -42,18 +42,18 @@
 };
 
 /** No connection was established, so nothing was sent; the endpoint is put into a short backoff. Returns `true` if one begins. */
-export const noteNoConnection = (health: EndpointHealth, nowMs: number): boolean => backOff(health, unreachableBackoffMs, nowMs);
+export const recordConnectionFailure = (health: EndpointHealth, nowMs: number): boolean => backOff(health, unreachableBackoffMs, nowMs);
 
 const backOff = (health: EndpointHealth, baseMs: number, nowMs: number): boolean => {
-	if (nowMs < health.restUntilMs) {
+	if (nowMs < health.backoffUntilMs) {
 		return false;
 	}
 
-	health.restUntilMs = nowMs + Math.min(maxBackoffMs, baseMs * (2 ** health.rests));
-	health.rests++;
+	health.backoffUntilMs = nowMs + Math.min(maxBackoffMs, baseMs * (2 ** health.backoffCount));
+	health.backoffCount++;
 	health.consecutiveFailures = 0;
 	health.failureShare = 0;
 	return true;
 };
 
-export const isResting = ({restUntilMs}: EndpointHealth, nowMs: number): boolean => nowMs < restUntilMs;
+export const isBackingOff = ({backoffUntilMs: restUntilMs}: EndpointHealth, nowMs: number): boolean => nowMs < restUntilMs;
--- a/packages/coordination/src/placement/endpoint-load.ts
+++ b/packages/coordination/src/placement/endpoint-load.ts
@@ -28,7 +28,7 @@
 	/** Requests of this entry that wait for their first byte, by key. */
 	readonly awaiting: Map<number, AwaitedRequest>;
 	/** Running and waiting requests as last advertised in the head of an answer; `null` if none advertised them. */
-	told: {readonly active: number; readonly atMs: number} | null;
+	advertisedLoad: {readonly active: number; readonly atMs: number} | null;
 	/** How much later than expected its answers start; halves in `lagHalfLifeMs`. */
 	lagMs: number;
 	lagAtMs: number;
@@ -41,7 +41,7 @@
 export type AwaitedRequest = {readonly promptTokens: number; readonly sentAtMs: number; /** The wait that was estimated when it was sent. */ readonly expectedMs: number};
 
 export const createEndpointLoad = (): EndpointLoad => ({
-	report: null, reportedAtMs: Number.NEGATIVE_INFINITY, path: createPathDelay(), outstanding: 0, awaiting: new Map(), told: null, lagMs: 0, lagAtMs: 0,
+	report: null, reportedAtMs: Number.NEGATIVE_INFINITY, path: createPathDelay(), outstanding: 0, awaiting: new Map(), advertisedLoad: null, lagMs: 0, lagAtMs: 0,
 	pausedUntilMs: Number.NEGATIVE_INFINITY, isLeaving: false,
 });
 
@@ -89,7 +89,7 @@
  * don't show a link that became slow or a host that stalled: the engine there looks
  * idle and would be chosen again and again.
  */
-export const noteLag = (load: EndpointLoad, lateMs: number, nowMs: number): void => {
+export const recordLag = (load: EndpointLoad, lateMs: number, nowMs: number): void => {
 	const before = decayedLagMs(load, nowMs);
 	load.lagMs = before + (lagWeight * (Math.min(maxLagMs, Math.max(0, lateMs)) - before));
 	load.lagAtMs = nowMs;
--- a/packages/coordination/src/placement/endpoint-pause.ts
+++ b/packages/coordination/src/placement/endpoint-pause.ts
@@ -13,6 +13,6 @@
 export const isPaused = ({pausedUntilMs}: EndpointLoad, nowMs: number): boolean => nowMs < pausedUntilMs;
 
 /** Records a pause that begins at `nowMs`; an earlier pause that ends later stays in force. */
-export const notePause = (load: EndpointLoad, pauseMs: number, nowMs: number): void => {
+export const recordPause = (load: EndpointLoad, pauseMs: number, nowMs: number): void => {
 	load.pausedUntilMs = Math.max(load.pausedUntilMs, nowMs + Math.min(maxPauseMs, pauseMs));
 };
--- a/packages/coordination/src/placement/engine-model.ts
+++ b/packages/coordination/src/placement/engine-model.ts
@@ -49,7 +49,7 @@
 };
 
 /** Prefill time of a prompt. */
-export const readMs = (profile: EngineProfile, tokens: number): number => tokens * 1000 / profile.readTokensPerSecond;
+export const prefillMs = (profile: EngineProfile, tokens: number): number => tokens * 1000 / profile.readTokensPerSecond;
 
 /**
  * How long a usual request holds its slot when all slots are taken. Prefill pauses
@@ -58,7 +58,7 @@
 export const slotHoldMs = (profile: EngineProfile): number => {
 	const passes = profile.usualAnswerTokens / profile.stepsPerPass;
 	const decodeMs = passes * passMs(profile, profile.slots);
-	return decodeMs + (profile.slots * readMs(profile, profile.usualPromptTokens));
+	return decodeMs + (profile.slots * prefillMs(profile, profile.usualPromptTokens));
 };
 
 /** How long a further request waits for a slot. */
@@ -75,7 +75,7 @@
 const spareFactor = 1.25;
 
 /** Time to the first token of a usual request at an engine with a free slot. */
-export const spareFirstTokenMs = (profile: EngineProfile): number => spareFactor * ((1.5 * passMs(profile, profile.slots)) + readMs(profile, profile.usualPromptTokens));
+export const spareFirstTokenMs = (profile: EngineProfile): number => spareFactor * ((1.5 * passMs(profile, profile.slots)) + prefillMs(profile, profile.usualPromptTokens));
 
 /**
  * Time to the first token of a further request: the wait for a slot, the prefill of
@@ -84,6 +84,6 @@
 export const firstTokenMs = (profile: EngineProfile, demand: EngineDemand, promptTokens: number): number => {
 	const decodingCount = Math.min(demand.active, profile.slots);
 	const waitMs = slotWaitMs(profile, demand.active);
-	const aheadPrefillMs = waitMs > 0 ? 0 : readMs(profile, demand.pendingPrefillTokens);
-	return demand.pace * (waitMs + aheadPrefillMs + (1.5 * passMs(profile, decodingCount)) + readMs(profile, promptTokens));
+	const aheadPrefillMs = waitMs > 0 ? 0 : prefillMs(profile, demand.pendingPrefillTokens);
+	return demand.pace * (waitMs + aheadPrefillMs + (1.5 * passMs(profile, decodingCount)) + prefillMs(profile, promptTokens));
 };
--- a/packages/coordination/src/placement/next-step.ts
+++ b/packages/coordination/src/placement/next-step.ts
@@ -7,13 +7,13 @@
 	acceptedAtMs, acceptedUntil, availabilityAt, type Unavailability,
 } from './availability.js';
 import {isPaused} from './endpoint-pause.js';
-import {readMs, spareFirstTokenMs} from './engine-model.js';
+import {prefillMs, spareFirstTokenMs} from './engine-model.js';
 import {maxAnswerMs, canFinishInTime} from './leaving.js';
 import {
-	effectiveObjectiveOf, isOverloaded, noteRefused, type ObjectiveMix,
+	effectiveObjectiveOf, isOverloaded, recordRefusal, type ObjectiveMix,
 } from './objective-mix.js';
 import {placeRequest, type Candidate, type Placement} from './place-request.js';
-import {mayWaitForCapacity, recordSpareCapacity, type SpareRoom} from './spare-room.js';
+import {mayWaitForCapacity, recordSpareCapacity, type SpareCapacity} from './spare-room.js';
 import type {VersionDue} from './version-due.js';
 import {
 	answerMs, briefWaitEndsAtMs, decideWait, engineOutlook, noEngineRetryMs,
@@ -22,11 +22,11 @@
 /** State that an entry keeps for one service across requests. */
 export type ServiceDemand = {
 	/** Rate of the requests that this entry sends to its endpoints. */
-	readonly sending: ArrivalRate;
+	readonly sendRate: ArrivalRate;
 	/** Arrivals and refusals by latency objective. */
 	readonly objectives: ObjectiveMix;
 	/** When its engines last had a free slot. */
-	readonly spareRoom: SpareRoom;
+	readonly spareCapacity: SpareCapacity;
 	/** Requests that are held until engines are ready. */
 	readonly heldCount: number;
 	/** Requests that wait until an endpoint accepts one more. */
@@ -34,7 +34,7 @@
 };
 
 /** An entry's view of a service, and of its own state, at one moment. */
-export type Surroundings = {
+export type PlacementContext = {
 	readonly candidates: readonly Candidate[];
 	/** Whether the limit of an endpoint allows a request to be sent now. */
 	permitStateOf(candidate: Candidate): PermitState;
@@ -45,13 +45,13 @@
 	/** The versions of the weights that requests must start on, each with the time from which it is required. */
 	readonly dues: readonly VersionDue[];
 	/** Time until this entry cuts running requests; infinite unless it is shutting down. */
-	readonly leftMs: number;
+	readonly shutdownInMs: number;
 	readonly random: Random;
 	readonly nowMs: number;
 };
 
 /** A request that needs an endpoint. */
-export type SeekingRequest = {
+export type UnplacedRequest = {
 	/** Whether its caller was refused before and has no further retry. */
 	readonly isLastTry: boolean;
 	readonly deadlineAtMs: number;
@@ -60,7 +60,7 @@
 	readonly timeoutMs: number;
 	readonly promptTokens: number;
 	/** 0 if its caller does not state it. */
-	readonly mostAnswerTokens: number;
+	readonly maxAnswerTokens: number;
 	readonly receivedAtMs: number;
 	/** When the search for an endpoint started. */
 	readonly sinceMs: number;
@@ -94,12 +94,12 @@
 const answerTimeMs = (profile: EngineProfile | null): number => profile === null ? 0 : answerMs(profile);
 
 /** Whether the answer is certain to end before this entry does. */
-const canFinishHere = ({profile, leftMs}: Surroundings, {timeoutMs, mostAnswerTokens}: SeekingRequest, {expectedMs}: Placement): boolean => canFinishInTime({
+const canFinishHere = ({profile, shutdownInMs: leftMs}: PlacementContext, {timeoutMs, maxAnswerTokens: mostAnswerTokens}: UnplacedRequest, {expectedMs}: Placement): boolean => canFinishInTime({
 	expectedMs, remainingMs: leftMs, maxAnswerMs: maxAnswerMs({profile, maxTokens: mostAnswerTokens, timeoutMs}),
 });
 
 /** Handles the case that no endpoint serves: the request waits briefly, is held until engines have loaded, or is refused with a retry time. */
-const withoutEndpoint = (demand: ServiceDemand, {profile, candidates, entryCount, random, nowMs}: Surroundings, request: SeekingRequest): NextStep => {
+const withoutEndpoint = (demand: ServiceDemand, {profile, candidates, entryCount, random, nowMs}: PlacementContext, request: UnplacedRequest): NextStep => {
 	const outlook = engineOutlook(candidates, nowMs);
 	const verdict = decideWait({
 		profile, outlook, hasComeBack: request.isLastTry, remainingMs: request.deadlineAtMs - nowMs, waitedMs: nowMs - request.sinceMs, isHeld: request.waitsFor === 'engines',
@@ -122,21 +122,21 @@
 
 type UnavailableCandidate = {readonly id: string; readonly unavailability: Unavailability};
 
-const unavailableCandidates = ({candidates, permitStateOf, nowMs}: Surroundings, {triedIds}: SeekingRequest): UnavailableCandidate[] => candidates.flatMap(candidate => {
+const unavailableCandidates = ({candidates, permitStateOf, nowMs}: PlacementContext, {triedIds}: UnplacedRequest): UnavailableCandidate[] => candidates.flatMap(candidate => {
 	const {announcement: {id, state}, load: {isLeaving}} = candidate;
 	const availability = availabilityAt(candidate, permitStateOf(candidate), nowMs);
 	return availability.type === 'available' || state !== 'ready' || isLeaving || triedIds.has(id) ? [] : [{id, unavailability: availability}];
 });
 
-const place = (demand: ServiceDemand, context: Surroundings, request: SeekingRequest, excludedIds: ReadonlySet<string>): Placement | null => placeRequest({
+const place = (demand: ServiceDemand, context: PlacementContext, request: UnplacedRequest, excludedIds: ReadonlySet<string>): Placement | null => placeRequest({
 	...context, promptTokens: request.promptTokens, objectiveMs: request.objectiveMs, isBegun: request.isBegun, excludedIds,
-	othersPerSecond: arrivalsPerSecond(demand.sending, context.nowMs) * (context.entryCount - 1),
+	othersPerSecond: arrivalsPerSecond(demand.sendRate, context.nowMs) * (context.entryCount - 1),
 });
 
-const pausedIds = ({candidates, nowMs}: Surroundings): string[] => candidates.filter(({load}) => isPaused(load, nowMs)).map(({announcement: {id}}) => id);
+const pausedIds = ({candidates, nowMs}: PlacementContext): string[] => candidates.filter(({load}) => isPaused(load, nowMs)).map(({announcement: {id}}) => id);
 
 /** The endpoint that would be chosen if limits did not apply; `null` if there is none or its limit allows a request now. */
-export const preferredLimited = (demand: ServiceDemand, context: Surroundings, request: SeekingRequest): Candidate | null => {
+export const preferredLimited = (demand: ServiceDemand, context: PlacementContext, request: UnplacedRequest): Candidate | null => {
 	const preferred = place(demand, context, request, new Set([...request.triedIds, ...pausedIds(context)]))?.candidate ?? null;
 	return preferred === null || context.permitStateOf(preferred).type === 'available' ? null : preferred;
 };
@@ -158,7 +158,7 @@
  * request waits only if they are expected to accept it, behind those already
  * waiting, within a brief wait.
  */
-const withoutAvailable = ({queuedCount}: ServiceDemand, {random, nowMs}: Surroundings, request: SeekingRequest, unavailable: readonly UnavailableCandidate[]): NextStep => {
+const withoutAvailable = ({queuedCount}: ServiceDemand, {random, nowMs}: PlacementContext, request: UnplacedRequest, unavailable: readonly UnavailableCandidate[]): NextStep => {
 	const unavailability = unavailable.map(({unavailability}) => unavailability);
 	const aheadCount = request.waitsFor === 'availability' ? queuedCount - 1 : queuedCount;
 	if (aheadCount < acceptedUntil(unavailability, briefWaitEndsAtMs(request))) {
@@ -170,7 +170,7 @@
 };
 
 /** Decides what to do with a request that needs an endpoint. */
-export const nextStep = (demand: ServiceDemand, context: Surroundings, request: SeekingRequest): NextStep => {
+export const nextStep = (demand: ServiceDemand, context: PlacementContext, request: UnplacedRequest): NextStep => {
 	const {profile, random, nowMs} = context;
 	const unavailable = unavailableCandidates(context, request);
 	const excludedIds = unavailable.length === 0 ? request.triedIds : new Set([...request.triedIds, ...unavailable.map(({id}) => id)]);
@@ -189,10 +189,10 @@
 		return {type: 'send', placement};
 	}
 
-	const excessMs = profile === null ? 0 : Math.max(0, readMs(profile, request.promptTokens - profile.usualPromptTokens));
+	const excessMs = profile === null ? 0 : Math.max(0, prefillMs(profile, request.promptTokens - profile.usualPromptTokens));
 	const spareMs = profile === null ? Number.POSITIVE_INFINITY : spareFirstTokenMs(profile);
 	if (placement.expectedMs - excessMs <= spareMs) {
-		recordSpareCapacity(demand.spareRoom, nowMs);
+		recordSpareCapacity(demand.spareCapacity, nowMs);
 	}
 
 	const timeToStartMs = request.deadlineAtMs - nowMs - answerTimeMs(profile);
@@ -208,19 +208,19 @@
 type Refusal = {readonly reason: string; readonly retryAfterMs: number; /** The time within which it can still be started and answered completely. */ readonly timeToStartMs: number};
 
 /** Handles the case that endpoints serve but have more requests than they can start in time. */
-const withoutCapacity = ({spareRoom, objectives}: ServiceDemand, {nowMs}: Surroundings, request: SeekingRequest, {reason, retryAfterMs, timeToStartMs}: Refusal): NextStep => {
+const withoutCapacity = ({spareCapacity, objectives}: ServiceDemand, {nowMs}: PlacementContext, request: UnplacedRequest, {reason, retryAfterMs, timeToStartMs}: Refusal): NextStep => {
 	if (request.waitsFor === 'engines' && timeToStartMs > 0) {
 		// Engines are back, and held requests are sent as capacity permits: all entries see the first engine as empty at the same time, and would fill its queue for seconds.
 		return {type: 'wait', reason: 'engines'};
 	}
 
-	if (request.waitsFor !== 'engines' && request.isLastTry && timeToStartMs > 0 && mayWaitForCapacity(spareRoom, nowMs - request.sinceMs, nowMs)) {
+	if (request.waitsFor !== 'engines' && request.isLastTry && timeToStartMs > 0 && mayWaitForCapacity(spareCapacity, nowMs - request.sinceMs, nowMs)) {
 		return {type: 'wait', reason: 'moment'};
 	}
 
 	if (!request.isLastTry) {
 		// Refusals of first attempts are compared between objectives.
-		noteRefused(objectives, request.objectiveMs, nowMs);
+		recordRefusal(objectives, request.objectiveMs, nowMs);
 	}
 
 	return {type: 'refuse', reason, retryAfterMs};
--- a/packages/coordination/src/placement/objective-mix.ts
+++ b/packages/coordination/src/placement/objective-mix.ts
@@ -1,5 +1,5 @@
 import {
-	arrivalsPerSecond, createArrivalRate, noteArrival, type ArrivalRate,
+	arrivalsPerSecond, createArrivalRate, recordArrival, type ArrivalRate,
 } from './arrival-rate.js';
 
 type ObjectiveClass = {readonly arrivals: ArrivalRate; readonly refusals: ArrivalRate};
@@ -24,12 +24,12 @@
 	return objectiveClass;
 };
 
-export const noteObjective = (mix: ObjectiveMix, objectiveMs: number, nowMs: number): void => {
-	noteArrival(classOf(mix, objectiveMs).arrivals, nowMs);
+export const recordObjective = (mix: ObjectiveMix, objectiveMs: number, nowMs: number): void => {
+	recordArrival(classOf(mix, objectiveMs).arrivals, nowMs);
 };
 
-export const noteRefused = (mix: ObjectiveMix, objectiveMs: number, nowMs: number): void => {
-	noteArrival(classOf(mix, objectiveMs).refusals, nowMs);
+export const recordRefusal = (mix: ObjectiveMix, objectiveMs: number, nowMs: number): void => {
+	recordArrival(classOf(mix, objectiveMs).refusals, nowMs);
 };
 
 type ObjectiveLoad = {readonly objectiveMs: number; readonly perSecond: number; readonly refusedShare: number};
--- a/packages/coordination/src/placement/path-delay.ts
+++ b/packages/coordination/src/placement/path-delay.ts
@@ -17,7 +17,7 @@
 	minMs: Number.POSITIVE_INFINITY, previousMinMs: Number.POSITIVE_INFINITY, windowStartMs: 0, delayMs: 0,
 });
 
-export const notePath = (path: PathDelay, sentAtMs: number, receivedAtMs: number): void => {
+export const recordPathDelay = (path: PathDelay, sentAtMs: number, receivedAtMs: number): void => {
 	const differenceMs = receivedAtMs - sentAtMs;
 	if (receivedAtMs - path.windowStartMs > windowMs) {
 		path.previousMinMs = path.minMs;
--- a/packages/coordination/src/placement/place-request.ts
+++ b/packages/coordination/src/placement/place-request.ts
@@ -1,11 +1,11 @@
 import type {EngineProfile} from '@bitternpaddle/state';
 import type {Announcement} from '../registry/types.js';
-import {drawShare, type Random} from '../utils/random.js';
+import {randomFraction, type Random} from '../utils/random.js';
 import {hasFreshReport, lagOf, type EndpointLoad} from './endpoint-load.js';
 import {spreadRequests} from './crowd.js';
-import {demandOf, firstTokenMs, readMs} from './engine-model.js';
+import {demandOf, firstTokenMs, prefillMs} from './engine-model.js';
 import {isMostlySwitched, mayStartOn, type VersionDue} from './version-due.js';
-import {isResting, type EndpointHealth} from './endpoint-health.js';
+import {isBackingOff, type EndpointHealth} from './endpoint-health.js';
 
 /** An endpoint with the load and health that an entry knows of it. */
 export type Candidate = {
@@ -59,7 +59,7 @@
 	: announcement.models.find(({model}) => model === profile.model)?.version ?? null;
 
 const plainExpectedMs = ({announcement: {slots}, load}: Candidate, nowMs: number): number => {
-	const advertised = load.told !== null && nowMs - load.told.atMs < maxAdvertisedAgeMs ? load.told.active : 0;
+	const advertised = load.advertisedLoad !== null && nowMs - load.advertisedLoad.atMs < maxAdvertisedAgeMs ? load.advertisedLoad.active : 0;
 	const active = Math.max(advertised, load.outstanding);
 	return plainRequestMs * (1 + (active / Math.max(1, slots)) + Math.max(0, active + 1 - slots));
 };
@@ -120,7 +120,7 @@
 	const usable = candidates.filter(candidate => isEligible(candidate, options))
 		.map(candidate => assess(candidate, options))
 		.filter(assessed => canServe(assessed, options, isSwitched));
-	const healthy = usable.filter(({candidate: {health}}) => !isResting(health, nowMs));
+	const healthy = usable.filter(({candidate: {health}}) => !isBackingOff(health, nowMs));
 	const ranked = (healthy.length > 0 ? healthy : usable).map(assessed => rankOf(assessed, options));
 	if (ranked.length === 0) {
 		return null;
@@ -142,7 +142,7 @@
 const tieJitterMs = 12;
 
 const placePlain = (ranked: readonly Ranked[], {random, nowMs}: PlaceOptions): Placement => {
-	const jitteredMs = ranked.map(({rankMs}) => rankMs + (tieJitterMs * drawShare(random)));
+	const jitteredMs = ranked.map(({rankMs}) => rankMs + (tieJitterMs * randomFraction(random)));
 	const {candidate, expectedMs} = ranked[jitteredMs.indexOf(Math.min(...jitteredMs))]!;
 	return {candidate, expectedMs, lagMs: lagOf(candidate.load, nowMs)};
 };
@@ -171,9 +171,9 @@
  */
 const placeAmongConcurrent = (ranked: readonly Ranked[], profile: EngineProfile, {othersPerSecond, random, nowMs}: PlaceOptions): Placement => {
 	const concurrentCount = othersPerSecond * meanReportAgeMs(ranked, nowMs) / 1000;
-	const perRequestMs = readMs(profile, profile.usualPromptTokens);
+	const perRequestMs = prefillMs(profile, profile.usualPromptTokens);
 	const shares = spreadRequests(ranked.map(({rankMs}) => rankMs), {count: concurrentCount + 1, perRequestMs});
-	let remaining = drawShare(random) * (concurrentCount + 1);
+	let remaining = randomFraction(random) * (concurrentCount + 1);
 	const index = shares.findIndex(share => {
 		remaining -= share;
 		return remaining < 0;
--- a/packages/coordination/src/placement/retry-allowance.ts
+++ b/packages/coordination/src/placement/retry-allowance.ts
@@ -24,7 +24,7 @@
 	timesMs.splice(0, kept === -1 ? timesMs.length : kept);
 };
 
-export const noteRequest = (allowance: RetryAllowance, nowMs: number): void => {
+export const recordRequest = (allowance: RetryAllowance, nowMs: number): void => {
 	dropBefore(allowance.requestTimesMs, nowMs - allowance.windowMs);
 	allowance.requestTimesMs.push(nowMs);
 };
--- a/packages/coordination/src/placement/spare-room.ts
+++ b/packages/coordination/src/placement/spare-room.ts
@@ -1,14 +1,14 @@
 /** When a service's engines last had a free slot, as seen by this entry. */
-export type SpareRoom = {seenAtMs: number};
+export type SpareCapacity = {seenAtMs: number};
 
 /** An engine's slots turn over about once in this time, so capacity that was seen within it is expected to become free again. */
 const recentMs = 1500;
 /** Maximum time that a caller retry waits for capacity; a complete answer still has to fit into its deadline. */
 const maxWaitMs = 1500;
 
-export const createSpareRoom = (): SpareRoom => ({seenAtMs: Number.NEGATIVE_INFINITY});
+export const createSpareCapacity = (): SpareCapacity => ({seenAtMs: Number.NEGATIVE_INFINITY});
 
-export const recordSpareCapacity = (capacity: SpareRoom, nowMs: number): void => {
+export const recordSpareCapacity = (capacity: SpareCapacity, nowMs: number): void => {
 	capacity.seenAtMs = nowMs;
 };
 
@@ -18,4 +18,4 @@
  * capacity is free again by then. Under sustained overload no capacity was seen
  * recently, and it gets its final answer at once.
  */
-export const mayWaitForCapacity = ({seenAtMs}: SpareRoom, waitedMs: number, nowMs: number): boolean => waitedMs < maxWaitMs && nowMs - seenAtMs < recentMs;
+export const mayWaitForCapacity = ({seenAtMs}: SpareCapacity, waitedMs: number, nowMs: number): boolean => waitedMs < maxWaitMs && nowMs - seenAtMs < recentMs;
--- a/packages/coordination/src/placement/urgency.ts
+++ b/packages/coordination/src/placement/urgency.ts
@@ -4,7 +4,7 @@
 	readonly hasComeBack: boolean;
 	readonly objectiveMs: number;
 	/** Prefill time of its own prompt. */
-	readonly ownReadMs: number;
+	readonly promptPrefillMs: number;
 	/** Slack of a usual request with the strictest objective: the objective less its prefill time. */
 	readonly usualSlackMs: number;
 };
@@ -22,7 +22,7 @@
  * part of a long prompt's objective, and the remaining time is lost while requests
  * that could wait are ahead of it.
  */
-export const urgencyOf = ({priority, hasComeBack, objectiveMs, ownReadMs, usualSlackMs}: UrgencyOptions): number => {
+export const urgencyOf = ({priority, hasComeBack, objectiveMs, promptPrefillMs: ownReadMs, usualSlackMs}: UrgencyOptions): number => {
 	if (hasComeBack) {
 		return lastLevel;
 	}
--- a/packages/coordination/src/placement/version-due.ts
+++ b/packages/coordination/src/placement/version-due.ts
@@ -34,7 +34,7 @@
 	.every(due => version >= due.version || nowMs + (expectedMs * expectationFactor) + (isPathSlow ? slowPathMs : pathMs) < due.dueAtMs);
 
 /** How long a request that was sent to an engine with `version` may wait for its start; `null` for no limit. */
-export const beginWithinMs = (version: number, dues: readonly VersionDue[], nowMs: number): number | null => {
+export const startWithinMs = (version: number, dues: readonly VersionDue[], nowMs: number): number | null => {
 	const pending = dues.filter(due => version < due.version).map(({dueAtMs}) => dueAtMs - nowMs);
 	return pending.length === 0 ? null : Math.max(0, Math.min(...pending));
 };
--- a/packages/coordination/src/quarantine/broken-attempts.ts
+++ b/packages/coordination/src/quarantine/broken-attempts.ts
@@ -15,7 +15,7 @@
 	/** Oldest first. */
 	readonly waiting: BrokenAttempt[];
 	/** When the last exit of each endpoint was confirmed. */
-	readonly endedAtMs: Map<string, number>;
+	readonly exitedAtMs: Map<string, number>;
 };
 
 /** Exits are confirmed by the endpoint's own host, by a refused connection, or by the next start. */
@@ -24,9 +24,9 @@
 const exitFreshMs = 500;
 const maxWaiting = 1024;
 
-export const createBrokenAttempts = (): BrokenAttempts => ({waiting: [], endedAtMs: new Map()});
+export const createBrokenAttempts = (): BrokenAttempts => ({waiting: [], exitedAtMs: new Map()});
 
-const pruneExpired = ({waiting, endedAtMs}: BrokenAttempts, nowMs: number): void => {
+const pruneExpired = ({waiting, exitedAtMs: endedAtMs}: BrokenAttempts, nowMs: number): void => {
 	const firstKept = waiting.findIndex(({atMs}) => nowMs - atMs <= confirmationTimeoutMs);
 	waiting.splice(0, firstKept === -1 ? waiting.length : Math.max(firstKept, waiting.length - maxWaiting));
 	for (const [address, atMs] of endedAtMs) {
@@ -37,9 +37,9 @@
 };
 
 /** Records a broken attempt; returns `true` if its endpoint is known to have exited. */
-export const noteBroken = (state: BrokenAttempts, broken: BrokenAttempt): boolean => {
+export const recordBrokenAttempt = (state: BrokenAttempts, broken: BrokenAttempt): boolean => {
 	pruneExpired(state, broken.atMs);
-	if (state.endedAtMs.has(broken.address)) {
+	if (state.exitedAtMs.has(broken.address)) {
 		return true;
 	}
 
@@ -58,13 +58,13 @@
 };
 
 /** Records a confirmed exit of an endpoint; returns the attempts that it broke. */
-export const confirmEnded = (state: BrokenAttempts, address: string, nowMs: number): BrokenAttempt[] => {
-	state.endedAtMs.set(address, nowMs);
+export const confirmExit = (state: BrokenAttempts, address: string, nowMs: number): BrokenAttempt[] => {
+	state.exitedAtMs.set(address, nowMs);
 	return takeWaiting(state, address, nowMs);
 };
 
 /** Records another start at the address, which means that the previous one exited; returns the attempts that this broke. */
-export const confirmRestarted = (state: BrokenAttempts, address: string, nowMs: number): BrokenAttempt[] => {
-	state.endedAtMs.delete(address);
+export const confirmRestart = (state: BrokenAttempts, address: string, nowMs: number): BrokenAttempt[] => {
+	state.exitedAtMs.delete(address);
 	return takeWaiting(state, address, nowMs);
 };
--- a/packages/coordination/src/quarantine/crash-ledger.ts
+++ b/packages/coordination/src/quarantine/crash-ledger.ts
@@ -68,7 +68,7 @@
 });
 
 /** Whether a request with this outline may be in the ledger; otherwise its body need not be hashed. */
-export const mayBeKnown = ({outlines}: CrashLedger, outline: RequestOutline): boolean => outlines.has(outline);
+export const mayHaveRecords = ({outlines}: CrashLedger, outline: RequestOutline): boolean => outlines.has(outline);
 
 export const isEmpty = ({ends, verdicts}: CrashLedger): boolean => ends.length === 0 && verdicts.size === 0;
 
@@ -245,7 +245,7 @@
 const noFingerprints: ReadonlySet<RequestFingerprint> = new Set();
 
 /** Records sightings from this entry or another, and re-evaluates the suspects. Other entries may have had more evidence, so their verdicts are adopted. */
-export const takeSightings = (ledger: CrashLedger, sightings: readonly CrashSighting[], nowMs: number, quarantinedElsewhere = noFingerprints): LedgerUpdate => {
+export const addSightings = (ledger: CrashLedger, sightings: readonly CrashSighting[], nowMs: number, quarantinedElsewhere = noFingerprints): LedgerUpdate => {
 	const verdicts: Verdict[] = [];
 	const newSightings = sightings.filter(sighting => recordSighting(ledger, sighting, verdicts));
 	const hasAllVerdicts = [...quarantinedElsewhere].every(fingerprint => ledger.verdicts.has(fingerprint));
--- a/packages/coordination/src/registry/registry.ts
+++ b/packages/coordination/src/registry/registry.ts
@@ -2,7 +2,7 @@
 
 export type RegistryEntry = {
 	announcement: Announcement;
-	heardAtMs: number;
+	receivedAtMs: number;
 	/** Position of the last change, for readers that follow the registry. */
 	position: number;
 	positionedAtMs: number;
@@ -51,13 +51,13 @@
  * them. By the sequence alone, a restarted endpoint would get no work until its
  * sequence exceeded the old one, and never if the old start had left.
  */
-export const hearAnnounced = (registry: Registry, received: AgedAnnouncement, nowMs: number, source: AnnouncementSource = 'endpoint'): boolean => {
+export const recordAnnouncement = (registry: Registry, received: AgedAnnouncement, nowMs: number, source: AnnouncementSource = 'endpoint'): boolean => {
 	const {ageMs, ...announcement} = received;
 	const known = registry.entries.get(received.id);
 	if (known === undefined || isLaterStart(known.announcement, announcement)) {
 		registry.position++;
 		registry.entries.set(received.id, {
-			announcement, heardAtMs: nowMs - ageMs, position: registry.position, positionedAtMs: nowMs,
+			announcement, receivedAtMs: nowMs - ageMs, position: registry.position, positionedAtMs: nowMs,
 		});
 		registry.urgentPosition = registry.position;
 		return true;
@@ -84,7 +84,7 @@
 	}
 
 	known.announcement = {...announcement, sequence: Math.max(announcement.sequence, known.announcement.sequence)};
-	known.heardAtMs = Math.max(known.heardAtMs, nowMs - ageMs);
+	known.receivedAtMs = Math.max(known.receivedAtMs, nowMs - ageMs);
 	return true;
 };
 
@@ -111,11 +111,11 @@
 };
 
 /** Returns everything that changed after `position`. */
-export const announcedSince = ({entries}: Registry, position: number, nowMs: number): AgedAnnouncement[] => {
+export const announcementsSince = ({entries}: Registry, position: number, nowMs: number): AgedAnnouncement[] => {
 	const changed: AgedAnnouncement[] = [];
 	for (const entry of entries.values()) {
 		if (entry.position > position) {
-			changed.push({...entry.announcement, ageMs: Math.max(0, nowMs - entry.heardAtMs)});
+			changed.push({...entry.announcement, ageMs: Math.max(0, nowMs - entry.receivedAtMs)});
 		}
 	}
 
@@ -124,7 +124,7 @@
 
 /** Removes endpoints that have been silent for the retention period. */
 export const pruneRegistry = ({entries}: Registry, nowMs: number): void => {
-	for (const [id, {heardAtMs}] of entries) {
+	for (const [id, {receivedAtMs: heardAtMs}] of entries) {
 		if (nowMs - heardAtMs > retentionMs) {
 			entries.delete(id);
 		}
--- a/packages/coordination/src/requests/retry.ts
+++ b/packages/coordination/src/requests/retry.ts
@@ -1,7 +1,7 @@
 import {notRun, type NotRun, type UnansweredVerdict} from '@bitternpaddle/state';
 import {match, P} from 'ts-pattern';
 import {
-	msUntilRetry, noteFreshRequest, returnRetry, takeRetry, type RetryBudget,
+	msUntilRetry, recordFirstAttempt, returnRetry, takeRetry, type RetryBudget,
 } from '../admission/index.js';
 import type {UnansweredCause} from './attempt.js';
 
@@ -72,7 +72,7 @@
 
 /** Returns the call's first effect and records the first attempt in the budget. */
 export const beginRetry = ({options: {budget}}: RetryState): RetryEffect => {
-	noteFreshRequest(budget);
+	recordFirstAttempt(budget);
 	return {type: 'choose', tried: noTriedHosts};
 };
 
--- a/packages/coordination/src/routing/index.ts
+++ b/packages/coordination/src/routing/index.ts
@@ -1,5 +1,5 @@
 export {tickRouter, type RequestOutcome} from './health.js';
-export {noteLoadReport, type LoadReport} from './load.js';
+export {recordLoadReport, type LoadReport} from './load.js';
 export {setEntries} from './placement.js';
 export * from './router.js';
 export type {
--- a/packages/coordination/src/routing/load.ts
+++ b/packages/coordination/src/routing/load.ts
@@ -46,7 +46,7 @@
  * later, so only this entry's earlier requests are subtracted; the remainder
  * belongs to other entries.
  */
-export const noteLoadReport = (state: RouterState, hostId: string, {running, ageMs}: LoadReport, nowMs: number): void => {
+export const recordLoadReport = (state: RouterState, hostId: string, {running, ageMs}: LoadReport, nowMs: number): void => {
 	const host = state.hosts.get(hostId);
 	const reportedAtMs = nowMs - ageMs;
 	if (host === undefined || reportedAtMs < host.reportedAtMs) {
--- a/packages/coordination/src/routing/router.ts
+++ b/packages/coordination/src/routing/router.ts
@@ -73,7 +73,7 @@
 };
 
 /** Whether a request for the target could start now. */
-export const hasRoom = (state: RouterState, target: RouteTarget): boolean => groupsFor(state, target)?.some(({group}) => groupHasSpareSlots(group)) ?? false;
+export const hasSpareSlots = (state: RouterState, target: RouteTarget): boolean => groupsFor(state, target)?.some(({group}) => groupHasSpareSlots(group)) ?? false;
 
 /** Whether any endpoint serves the target, full or not. */
 export const hasEndpoint = (state: RouterState, target: RouteTarget): boolean => groupsFor(state, target)?.some(({group}) => group.activeSize > 0) ?? false;
@@ -225,7 +225,7 @@
 	return true;
 };
 
-export const noteStart = (state: RouterState, hostId: string, nowMs: number): void => {
+export const recordStart = (state: RouterState, hostId: string, nowMs: number): void => {
 	const host = state.hosts.get(hostId);
 	if (host === undefined) {
 		return;
@@ -237,7 +237,7 @@
 };
 
 /** Records the first byte of an answer. */
-export const noteFirstByte = (state: RouterState, hostId: string, nowMs: number): void => {
+export const recordFirstByte = (state: RouterState, hostId: string, nowMs: number): void => {
 	const host = state.hosts.get(hostId);
 	if (host !== undefined) {
 		clearAwaitingFirstByte(host, nowMs);
@@ -250,7 +250,7 @@
 	readonly hadFirstByte: boolean;
 };
 
-export const noteEnd = (state: RouterState, hostId: string, {outcome, hadFirstByte}: RequestEnd, nowMs: number): void => {
+export const recordEnd = (state: RouterState, hostId: string, {outcome, hadFirstByte}: RequestEnd, nowMs: number): void => {
 	const host = state.hosts.get(hostId);
 	if (host === undefined) {
 		return;
--- a/packages/coordination/src/swarm/link-strain.ts
+++ b/packages/coordination/src/swarm/link-strain.ts
@@ -21,7 +21,7 @@
 export const createLinkStrain = (): LinkStrain => ({slowSources: new Set(), backoffUntilMs: 0, consecutiveBackoffs: 0});
 
 /** Records a fetch. `isSlow`: it took several times as long as the link should need for all concurrent fetches. Returns `true` if the host starts a backoff. */
-export const noteFetch = (strain: LinkStrain, source: string, isSlow: boolean, nowMs: number): boolean => {
+export const recordFetch = (strain: LinkStrain, source: string, isSlow: boolean, nowMs: number): boolean => {
 	if (!isSlow) {
 		strain.slowSources.clear();
 		strain.consecutiveBackoffs = 0;
@@ -46,4 +46,4 @@
 export const isStrained = ({backoffUntilMs, consecutiveBackoffs}: LinkStrain, nowMs: number): boolean => consecutiveBackoffs > 0 && nowMs < backoffUntilMs + strainTimeoutMs;
 
 /** Remaining time in which this host should not exchange chunks. */
-export const strainRestMs = ({backoffUntilMs}: LinkStrain, nowMs: number): number => Math.max(0, backoffUntilMs - nowMs);
+export const strainBackoffMs = ({backoffUntilMs}: LinkStrain, nowMs: number): number => Math.max(0, backoffUntilMs - nowMs);
--- a/packages/coordination/src/swarm/schedule.ts
+++ b/packages/coordination/src/swarm/schedule.ts
@@ -74,7 +74,7 @@
  * of them several times, and the version would be complete that much later.
  */
 const refetchOverdue = (state: SwarmState, effects: SwarmEffect[], nowMs: number): void => {
-	const {options: {redrawMs: refetchDelayMs, maxOriginFetches}, tickets: {ranks}, picker} = state;
+	const {options: {refetchMs: refetchDelayMs, maxOriginFetches}, tickets: {ranks}, picker} = state;
 	const overdueMs = nowMs - state.originAvailableSinceMs - refetchDelayMs;
 	if (overdueMs < 0) {
 		return;
--- a/packages/coordination/src/swarm/source-rests.ts
+++ b/packages/coordination/src/swarm/source-rests.ts
@@ -4,7 +4,7 @@
 export type RemainingBackoffs = Record<WeightSource, number>;
 
 /** Backoffs of the sources, from which nothing is fetched until they expire. */
-export type SourceRests = {
+export type SourceBackoffs = {
 	readonly hasStore: boolean;
 	/**
 	 * Rate limits reported by the sources. They are sent with the announcements,
@@ -24,33 +24,33 @@
 /** Without a second source, the origin is retried soon because there is no alternative. */
 const onlySourceBackoffMs = 300;
 
-export const createSourceRests = (hasStore: boolean): SourceRests => ({
+export const createSourceBackoffs = (hasStore: boolean): SourceBackoffs => ({
 	hasStore, limitedUntilMs: {origin: 0, store: 0}, unreachableUntilMs: {origin: 0, store: 0}, failures: {origin: 0, store: 0},
 });
 
 /** Records that a source responded with status 429. */
-export const noteLimited = (backoffs: SourceRests, source: WeightSource, backoffMs: number, nowMs: number): void => {
+export const recordRateLimit = (backoffs: SourceBackoffs, source: WeightSource, backoffMs: number, nowMs: number): void => {
 	backoffs.limitedUntilMs[source] = Math.max(backoffs.limitedUntilMs[source], nowMs + Math.min(backoffMs, maxLimitMs));
 };
 
-export const noteUnreachable = (backoffs: SourceRests, source: WeightSource, nowMs: number): void => {
+export const recordUnreachable = (backoffs: SourceBackoffs, source: WeightSource, nowMs: number): void => {
 	const backoffMs = backoffs.hasStore ? Math.min(maxBackoffMs, unreachableBackoffMs * (2 ** backoffs.failures[source])) : onlySourceBackoffMs;
 	backoffs.failures[source]++;
 	backoffs.unreachableUntilMs[source] = nowMs + backoffMs;
 };
 
-export const noteReached = ({failures}: SourceRests, source: WeightSource): void => {
+export const recordReached = ({failures}: SourceBackoffs, source: WeightSource): void => {
 	failures[source] = 0;
 };
 
 /** Remaining limits to announce to the neighbours. */
-export const remainingLimits = ({limitedUntilMs}: SourceRests, nowMs: number): RemainingBackoffs => ({
+export const remainingLimits = ({limitedUntilMs}: SourceBackoffs, nowMs: number): RemainingBackoffs => ({
 	origin: Math.max(0, Math.ceil(limitedUntilMs.origin - nowMs)), store: Math.max(0, Math.ceil(limitedUntilMs.store - nowMs)),
 });
 
-export const hearLimits = (backoffs: SourceRests, received: RemainingBackoffs, nowMs: number): void => {
-	noteLimited(backoffs, 'origin', received.origin, nowMs);
-	noteLimited(backoffs, 'store', received.store, nowMs);
+export const recordReceivedLimits = (backoffs: SourceBackoffs, received: RemainingBackoffs, nowMs: number): void => {
+	recordRateLimit(backoffs, 'origin', received.origin, nowMs);
+	recordRateLimit(backoffs, 'store', received.store, nowMs);
 };
 
 export type SourceChoice
@@ -58,7 +58,7 @@
 		| {readonly type: 'wait'; readonly waitMs: number};
 
 /** Chooses the origin if it has no backoff, otherwise the store, otherwise a wait. */
-export const chooseSource = (backoffs: SourceRests, nowMs: number): SourceChoice => {
+export const chooseSource = (backoffs: SourceBackoffs, nowMs: number): SourceChoice => {
 	const waitFor = (source: WeightSource): number => Math.max(0, backoffs.limitedUntilMs[source] - nowMs, backoffs.unreachableUntilMs[source] - nowMs);
 	if (waitFor('origin') === 0) {
 		return {type: 'ask', source: 'origin'};
--- a/packages/coordination/src/swarm/swarm.ts
+++ b/packages/coordination/src/swarm/swarm.ts
@@ -22,16 +22,16 @@
 
 export const createSwarm = (options: SwarmOptions): {state: SwarmState; effects: SwarmEffect[]} => {
 	const {
-		held, peers, maxFetches = 5, maxFetchesPerPeer = 2, maxOriginFetches = 2, originCopies = 1, drawers: fetcherCount = 8,
+		held, peers, maxFetches = 5, maxFetchesPerPeer = 2, maxOriginFetches = 2, originCopies = 1, originFetchers: fetcherCount = 8,
 		takeoverMs = 2000, fetchTimeoutMs = 5000, maxNeighbours = 10, maxBadChunks = 3, importWaitMs = 0, greetingWaitMs = 500,
-		redrawMs: refetchDelayMs = Number.POSITIVE_INFINITY, nearDrawers: nearFetchers = null, ...otherOptions
+		refetchMs: refetchDelayMs = Number.POSITIVE_INFINITY, nearOriginFetchers: nearFetchers = null, ...otherOptions
 	} = options;
 	const {self, manifestId, totalChunks, nowMs} = otherOptions;
 	const seen = new Uint8Array(totalChunks);
 	const state: SwarmState = {
 		options: {
-			...otherOptions, maxFetches, maxFetchesPerPeer, maxOriginFetches, originCopies, drawers: fetcherCount,
-			takeoverMs, fetchTimeoutMs, maxNeighbours, maxBadChunks, importWaitMs, greetingWaitMs, redrawMs: refetchDelayMs, nearDrawers: nearFetchers,
+			...otherOptions, maxFetches, maxFetchesPerPeer, maxOriginFetches, originCopies, originFetchers: fetcherCount,
+			takeoverMs, fetchTimeoutMs, maxNeighbours, maxBadChunks, importWaitMs, greetingWaitMs, refetchMs: refetchDelayMs, nearOriginFetchers: nearFetchers,
 		},
 		peers: new Map(),
 		neighbours: new Map(),
@@ -109,7 +109,7 @@
  * suspected.
  */
 const changePeers = (state: SwarmState, peers: readonly SwarmPeer[], nowMs: number): SwarmEffect[] => {
-	const {self, manifestId, totalChunks, drawers: fetcherCount, takeoverMs} = state.options;
+	const {self, manifestId, totalChunks, originFetchers: fetcherCount, takeoverMs} = state.options;
 	const next = new Map(peers.filter(peer => peer.hostId !== self.hostId).map(peer => [peer.hostId, peer]));
 	if (!isSamePeers(state.peers, next)) {
 		state.peers = next;
@@ -126,13 +126,13 @@
 };
 
 /** The hosts that should fetch from the origin before the others. */
-const hostsInOriginZone = ({options: {self, nearDrawers: nearFetchers}}: SwarmState, peers: ReadonlyMap<string, SwarmPeer>): ReadonlySet<string> => {
+const hostsInOriginZone = ({options: {self, nearOriginFetchers: nearFetchers}}: SwarmState, peers: ReadonlyMap<string, SwarmPeer>): ReadonlySet<string> => {
 	if (nearFetchers === null) {
 		return new Set();
 	}
 
 	const originZonePeers = [self, ...peers.values()].filter(({zoneId}) => zoneId === nearFetchers.zoneId);
-	return new Set(originZonePeers.length < nearFetchers.least ? [] : originZonePeers.map(({hostId}) => hostId));
+	return new Set(originZonePeers.length < nearFetchers.minHosts ? [] : originZonePeers.map(({hostId}) => hostId));
 };
 
 /** Chunks arrive from the origin every few tens of ms; if none appears anywhere for this long, it is lost or partitioned. */
@@ -143,7 +143,7 @@
  * the origin is still sending. Exchanges among hosts continue for seconds after
  * the origin is lost, so they do not indicate when the last chunk arrives.
  */
-export const isRestInReach = ({tickets: {seen, progressAtMs}}: SwarmState, nowMs: number): boolean => nowMs - progressAtMs < originSilenceMs || seen.every(shown => shown === 1);
+export const isRemainderAvailable = ({tickets: {seen, progressAtMs}}: SwarmState, nowMs: number): boolean => nowMs - progressAtMs < originSilenceMs || seen.every(shown => shown === 1);
 
 /** Removes a fetch from the state. Returns `null` if it was cancelled before. */
 const endFetch = (state: SwarmState, chunk: number, source: ChunkSource): {startedAtMs: number} | null => {
--- a/packages/coordination/src/swarm/types.ts
+++ b/packages/coordination/src/swarm/types.ts
@@ -14,7 +14,7 @@
 export type FailureReason = 'corrupt' | 'missing' | 'unreachable' | 'stalled' | 'busy';
 
 /** Zone of the origin. `least`: minimum number of hosts whose links together can carry what the origin sends. */
-export type NearDrawers = {readonly zoneId: string; readonly least: number};
+export type NearOriginFetchers = {readonly zoneId: string; readonly minHosts: number};
 
 export type SwarmOptions = {
 	readonly self: SwarmPeer;
@@ -33,13 +33,13 @@
 	/** Number of copies that may leave the origin while no host fails, 1 to 4. @default 1 */
 	readonly originCopies?: number;
 	/** Number of hosts that fetch from the origin, for each copy. @default 8 */
-	readonly drawers?: number;
+	readonly originFetchers?: number;
 	/**
 	 * Hosts of the origin's zone fetch its chunks, if there are enough of them for its
 	 * link; the others do if these fail. A chunk fetched from another zone crosses the
 	 * zone boundary once more on its way back. @default null, any host fetches
 	 */
-	readonly nearDrawers?: NearDrawers | null;
+	readonly nearOriginFetchers?: NearOriginFetchers | null;
 	/** If an origin fetcher yields no new chunk for this long, the others take over its chunks. @default 2000 */
 	readonly takeoverMs?: number;
 	/** Timeout of a fetch while the typical fetch time is unknown, and minimum timeout of a fetch from the origin. @default 5000 */
@@ -62,7 +62,7 @@
 	 * that each silent fetcher has crashed.
 	 * @default never
 	 */
-	readonly redrawMs?: number;
+	readonly refetchMs?: number;
 };
 
 /** This host's view of a neighbour. */
--- a/packages/coordination/src/utils/random.ts
+++ b/packages/coordination/src/utils/random.ts
@@ -15,4 +15,4 @@
 const fractionSteps = 1_000_000;
 
 /** Random number from 0 (inclusive) to 1 (exclusive). */
-export const drawShare = (random: Random): number => random.between(0, fractionSteps - 1) / fractionSteps;
+export const randomFraction = (random: Random): number => random.between(0, fractionSteps - 1) / fractionSteps;
--- a/packages/coordination/test/adapter-routing.test.ts
+++ b/packages/coordination/test/adapter-routing.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import {createCatalog, type Catalog, type HostRecord} from '@bitternpaddle/state';
 import {
-	chooseEndpoint, createRandom, createRouter, hasEndpoint, noteStart, updateRouter, type Choice, type RouterState,
+	chooseEndpoint, createRandom, createRouter, hasEndpoint, recordStart, updateRouter, type Choice, type RouterState,
 } from '@bitternpaddle/coordination';
 
 type HostSpec = {readonly zone: string; readonly version: string; readonly adapters?: readonly string[]};
@@ -54,7 +54,7 @@
 	const chosen = Array.from({length: 20}, () => hostIdOrType(choose(router, 'tone')));
 	t.same([...new Set(chosen)], ['h3']);
 	t.equal(hostIdOrType(choose(router, 'tone', ['h3'])), 'noEndpoint', 'the host was already tried');
-	noteStart(router, 'h3', 0);
+	recordStart(router, 'h3', 0);
 	t.equal(hostIdOrType(choose(router, 'tone')), 'busy', 'the host is full');
 });
 
--- a/packages/coordination/test/admission.test.ts
+++ b/packages/coordination/test/admission.test.ts
@@ -1,8 +1,8 @@
 import t from 'tap';
 import fc from 'fast-check';
 import {
-	cancelRequest, createAdmission, createRetryBudget, finishRequest, noteFreshRequest, offerRequest, returnToQueue, setShares, takeRequest, takeRetry,
-	tickAdmission, waitingFor, type AdmissionOptions, type AdmissionRefusal, type AdmissionRequest, type AdmissionState,
+	cancelRequest, createAdmission, createRetryBudget, finishRequest, recordFirstAttempt, offerRequest, returnToQueue, setShares, dequeueRequest, takeRetry,
+	tickAdmission, waitingCount, type AdmissionOptions, type AdmissionRefusal, type AdmissionRequest, type AdmissionState,
 } from '@bitternpaddle/coordination';
 
 const target = 'model/pitch-desk';
@@ -26,12 +26,12 @@
 	return queued;
 };
 
-const takeRequestIds = (state: AdmissionState, count: number, nowMs = 0): string[] => Array.from({length: count}, () => takeRequest(state, target, nowMs).request?.requestId ?? 'none');
+const takeRequestIds = (state: AdmissionState, count: number, nowMs = 0): string[] => Array.from({length: count}, () => dequeueRequest(state, target, nowMs).request?.requestId ?? 'none');
 
 /** Serves one request every `stepMs` while many are waiting, which sets the service rate: 10,000 per second at cost 100 and 10 ms. */
 const trainServiceRate = (state: AdmissionState, teamId: string, untilMs: number, stepMs = 10): void => {
 	for (let nowMs = stepMs; nowMs <= untilMs; nowMs += stepMs) {
-		const {request} = takeRequest(state, target, nowMs);
+		const {request} = dequeueRequest(state, target, nowMs);
 		finishRequest(state, request!.requestId, {hasRun: true}, nowMs);
 		offerRequest(state, createRequest(`${teamId}-more-${nowMs}`, teamId), nowMs);
 	}
@@ -93,14 +93,14 @@
 	trainServiceRate(state, 'large', 2000);
 	t.equal(tickAdmission(state, 2000).length, 0);
 	for (let nowMs = 2100; nowMs <= 4000; nowMs += 100) {
-		const {request} = takeRequest(state, target, nowMs);
+		const {request} = dequeueRequest(state, target, nowMs);
 		finishRequest(state, request!.requestId, {hasRun: true}, nowMs);
 	}
 
 	const refused = tickAdmission(state, 4010);
 	t.ok(refused.length > 100, `${refused.length} refused`);
 	t.ok(refused.every(({reason}) => reason === 'deadline'));
-	t.ok(waitingFor(state, target) > 0, 'requests that can still be served stay queued');
+	t.ok(waitingCount(state, target) > 0, 'requests that can still be served stay queued');
 });
 
 // A caller disconnects while its request is queued. If the request were started
@@ -109,7 +109,7 @@
 	const state = setUp({small: 1});
 	offerRequests(state, 'small', 3);
 	cancelRequest(state, 'small-0-1');
-	t.equal(waitingFor(state, target), 2);
+	t.equal(waitingCount(state, target), 2);
 	t.same(takeRequestIds(state, 3), ['small-0-0', 'small-0-2', 'none']);
 });
 
@@ -132,7 +132,7 @@
 	const served = {unlucky: 0, lucky: 0};
 	const returned = new Set<string>();
 	while (served.unlucky + served.lucky < 80) {
-		const {requestId, teamId} = takeRequest(state, target, 0).request!;
+		const {requestId, teamId} = dequeueRequest(state, target, 0).request!;
 		if (teamId === 'unlucky' && !returned.has(requestId)) {
 			returned.add(requestId);
 			returnToQueue(state, requestId);
@@ -155,7 +155,7 @@
 
 		refusals.push(...tickAdmission(state, nowMs));
 		while (running.length < slots) {
-			const {request} = takeRequest(state, target, nowMs);
+			const {request} = dequeueRequest(state, target, nowMs);
 			if (request === null) {
 				break;
 			}
@@ -188,7 +188,7 @@
 		t.same(serve(state, {
 			slots: 16, durationMs: 2000, fromMs: 600, untilMs: 20_000,
 		}), [], hasServiceHistory ? 'after a short request' : 'without earlier requests');
-		t.equal(waitingFor(state, target), 0, 'all requests were started');
+		t.equal(waitingCount(state, target), 0, 'all requests were started');
 	}
 });
 
@@ -219,13 +219,13 @@
 		const nowMs = index * 1000;
 		const isLong = index % 2 === 1;
 		offerRequest(state, createRequest(`r${index}`, 'large', {cost: isLong ? 1000 : 1}), nowMs);
-		takeRequest(state, target, nowMs);
+		dequeueRequest(state, target, nowMs);
 		finishRequest(state, `r${index}`, {hasRun: true}, nowMs + 100 + (isLong ? 500 : 0));
 	}
 
 	offerRequest(state, createRequest('ahead', 'large'), 30_000);
 	offerRequest(state, createRequest('long', 'large', {cost: 1000, deadlineAtMs: 40_000}), 30_000);
-	t.same([takeRequest(state, target, 30_001), takeRequest(state, target, 30_001)].map(({refused}) => refused), [[], []]);
+	t.same([dequeueRequest(state, target, 30_001), dequeueRequest(state, target, 30_001)].map(({refused}) => refused), [[], []]);
 });
 
 t.test('a team above its share of the limit is refused until its bucket has refilled', async t => {
@@ -246,7 +246,7 @@
 	const budget = createRetryBudget({share: 0.2, reservePerSecond: 0, nowMs: 0});
 	let retries = 0;
 	for (let index = 0; index < 1000; index++) {
-		noteFreshRequest(budget);
+		recordFirstAttempt(budget);
 		retries += takeRetry(budget, index) ? 1 : 0;
 		retries += takeRetry(budget, index) ? 1 : 0;
 	}
@@ -275,7 +275,7 @@
 				offerRequest(state, createRequest(id, `t${team}`, {cost}), index);
 				waiting.add(id);
 			} else if (kind === 'take') {
-				const {request} = takeRequest(state, target, index);
+				const {request} = dequeueRequest(state, target, index);
 				if (request === null ? waiting.size > 0 : !waiting.delete(request.requestId)) {
 					return false;
 				}
@@ -294,7 +294,7 @@
 				waiting.add(back);
 			}
 
-			if (waitingFor(state, target) !== waiting.size) {
+			if (waitingCount(state, target) !== waiting.size) {
 				return false;
 			}
 		}
@@ -313,7 +313,7 @@
 		const served = {heavy: 0, light: 0};
 		const counts = {heavy: 0, light: 0};
 		while (counts.heavy < 100 && counts.light < 100) {
-			const id = takeRequest(state, target, 0).request!.requestId;
+			const id = dequeueRequest(state, target, 0).request!.requestId;
 			const teamId = id.startsWith('heavy') ? 'heavy' : 'light';
 			served[teamId] += costOf.get(id)!;
 			counts[teamId]++;
--- a/packages/coordination/test/availability.test.ts
+++ b/packages/coordination/test/availability.test.ts
@@ -1,8 +1,8 @@
 import type {EngineProfile} from '@bitternpaddle/state';
 import t from 'tap';
 import {
-	createArrivalRate, createEndpointHealth, createEndpointLoad, createObjectiveMix, createRandom, createSpareRoom, nextStep, notePause, preferredLimited,
-	type Candidate, type PermitState, type SeekingRequest, type ServiceDemand, type Surroundings,
+	createArrivalRate, createEndpointHealth, createEndpointLoad, createObjectiveMix, createRandom, createSpareCapacity, nextStep, recordPause, preferredLimited,
+	type Candidate, type PermitState, type UnplacedRequest, type ServiceDemand, type PlacementContext,
 } from '@bitternpaddle/coordination';
 
 const nowMs = 1050;
@@ -25,16 +25,16 @@
 });
 
 const demand = (queuedCount = 0): ServiceDemand => ({
-	sending: createArrivalRate(), objectives: createObjectiveMix(), spareRoom: createSpareRoom(), heldCount: 0, queuedCount,
+	sendRate: createArrivalRate(), objectives: createObjectiveMix(), spareCapacity: createSpareCapacity(), heldCount: 0, queuedCount,
 });
 
-const createContext = (availability: Readonly<Record<string, PermitState>>): Surroundings => ({
+const createContext = (availability: Readonly<Record<string, PermitState>>): PlacementContext => ({
 	candidates: [engine('idle', 0), engine('busy', 16)], permitStateOf: ({announcement: {id}}) => availability[id] ?? {type: 'available'}, profile, zoneId: 'z1',
-	entryCount: 1, dues: [], leftMs: Number.POSITIVE_INFINITY, random: createRandom(1), nowMs,
+	entryCount: 1, dues: [], shutdownInMs: Number.POSITIVE_INFINITY, random: createRandom(1), nowMs,
 });
 
-const request = (fields: Partial<SeekingRequest> = {}): SeekingRequest => ({
-	isLastTry: false, deadlineAtMs: nowMs + 6000, retryClass: 'streaming', objectiveMs: 400, timeoutMs: 6000, promptTokens: 973, mostAnswerTokens: 100, receivedAtMs: nowMs,
+const request = (fields: Partial<UnplacedRequest> = {}): UnplacedRequest => ({
+	isLastTry: false, deadlineAtMs: nowMs + 6000, retryClass: 'streaming', objectiveMs: 400, timeoutMs: 6000, promptTokens: 973, maxAnswerTokens: 100, receivedAtMs: nowMs,
 	sinceMs: nowMs, isBegun: false, sentCount: 0, triedIds: new Set(), waitsFor: null, ...fields,
 });
 
@@ -73,10 +73,10 @@
 });
 
 /** A context in which both endpoints requested a pause at `nowMs`; a pause of 0 has no effect. */
-const paused = (idlePauseMs: number, busyPauseMs: number): Surroundings => {
+const paused = (idlePauseMs: number, busyPauseMs: number): PlacementContext => {
 	const pausedContext = createContext({});
 	for (const [index, pauseMs] of [idlePauseMs, busyPauseMs].entries()) {
-		notePause(pausedContext.candidates[index]!.load, pauseMs, nowMs);
+		recordPause(pausedContext.candidates[index]!.load, pauseMs, nowMs);
 	}
 
 	return pausedContext;
--- a/packages/coordination/test/burn.test.ts
+++ b/packages/coordination/test/burn.test.ts
@@ -17,7 +17,7 @@
 const countBatch = (counters: readonly BurnCounter[], {atMs, notWhole, slow}: Batch): void => {
 	for (let index = 0; index < 100; index++) {
 		countSample(counters[index % counters.length]!, {
-			serviceId: 'bp-writers', teamId: index % 4 < 2 ? 'marshals' : 'fry-stands', atMs, isWhole: index >= notWhole,
+			serviceId: 'bp-writers', teamId: index % 4 < 2 ? 'marshals' : 'fry-stands', atMs, isComplete: index >= notWhole,
 			firstTokenMs: index < slow ? 1500 : 200, firstTokenBoundMs: objective.firstTokenMs,
 		});
 	}
@@ -113,14 +113,14 @@
 	const counter = createBurnCounter({maxSeries: 3});
 	for (let team = 0; team < 50; team++) {
 		countSample(counter, {
-			serviceId: 's', teamId: `team-${team}`, atMs: nowMs, isWhole: true, firstTokenMs: 5, firstTokenBoundMs: 1000,
+			serviceId: 's', teamId: `team-${team}`, atMs: nowMs, isComplete: true, firstTokenMs: 5, firstTokenBoundMs: 1000,
 		});
 	}
 
 	t.same([...counter.series.values()].map(({teamId}) => teamId), ['team-0', 'team-1', 'team-2', otherTeams]);
 	for (let minute = 0; minute < 10 * 24 * 60; minute++) {
 		countSample(counter, {
-			serviceId: 's', teamId: 'team-0', atMs: nowMs + (minute * minuteMs), isWhole: true, firstTokenMs: minute, firstTokenBoundMs: 1000,
+			serviceId: 's', teamId: 'team-0', atMs: nowMs + (minute * minuteMs), isComplete: true, firstTokenMs: minute, firstTokenBoundMs: 1000,
 		});
 	}
 
--- a/packages/coordination/test/claimed-call-schedules.test.ts
+++ b/packages/coordination/test/claimed-call-schedules.test.ts
@@ -5,8 +5,8 @@
 	type ClaimPlace, type CommandResult,
 } from '@bitternpaddle/state';
 import {
-	admitAtDoor, beginRetry, createClaimedCall, createDoor, createRetry, createRetryBudget, finishAtDoor, firstClaimedCallEffect, settleAtDoor,
-	stepClaimedCall, stepRetry, type AttemptedEnd, type ClaimAnswer, type ClaimedCallEffect, type ClaimedCallEvent, type ClaimedCallState, type DoorState,
+	admitAtGate, beginRetry, createClaimedCall, createRequestGate, createRetry, createRetryBudget, finishAtGate, firstClaimedCallEffect, resolveAtGate,
+	stepClaimedCall, stepRetry, type AttemptedEnd, type ClaimAnswer, type ClaimedCallEffect, type ClaimedCallEvent, type ClaimedCallState, type RequestGate,
 	type RetryEffect, type RetryEvent, type RetryState,
 } from '@bitternpaddle/coordination';
 
@@ -42,7 +42,7 @@
 const createWorld = () => ({
 	ledger: createLedger(),
 	budget: createRetryBudget({reservePerSecond: 0, nowMs: 0}),
-	gates: Array.from({length: gateCount}, (_, index): DoorState => createDoor({capacity: 10, incarnation: index + 1})),
+	gates: Array.from({length: gateCount}, (_, index): RequestGate => createRequestGate({capacity: 10, incarnation: index + 1})),
 	entries: Array.from({length: entryCount}, (_, index) => createEntry(index, 0)),
 	/** Requests in transit; each arrives when the schedule delivers it. */
 	inTransit: [] as ClaimPlace[],
@@ -57,7 +57,7 @@
 	teamId: teamId('marshals'), serviceId: serviceId('ledger'), key: idempotencyKey('pitch-12'), requestId: requestId(id),
 });
 
-const gateOf = (world: World, {hostId: host}: ClaimPlace): DoorState => world.gates[Number(host.slice(1))]!;
+const gateOf = (world: World, {hostId: host}: ClaimPlace): RequestGate => world.gates[Number(host.slice(1))]!;
 
 /** Control's response may be lost although the change was written. */
 const proposalEvent = (result: CommandResult, isLost: boolean): ClaimedCallEvent => isLost ? {type: 'proposalFailed', reason: 'no answer'} : {type: 'proposed', result};
@@ -84,7 +84,7 @@
 /** The connection is always lost, so the attempt is resolved at its request gate. A full endpoint has refused before this. */
 const resolveAttempt = (world: World, entry: Entry, pick: number): RetryEvent => {
 	const place = entry.place!;
-	const result = settleAtDoor(gateOf(world, place), place);
+	const result = resolveAtGate(gateOf(world, place), place);
 	if (result === 'notRun') {
 		return {type: 'unanswered', cause: 'lost', verdict: notRun('lost')};
 	}
@@ -181,7 +181,7 @@
 		}
 
 		case 'settle': {
-			const result = effect.place === null ? 'notRun' : settleAtDoor(gateOf(world, effect.place), effect.place);
+			const result = effect.place === null ? 'notRun' : resolveAtGate(gateOf(world, effect.place), effect.place);
 			const found = result === 'unknown' ? {type: 'lost', isForGood: true} as const : (result === 'ran' ? {type: 'ran', answer} as const : {type: result});
 			handle({type: 'found', found});
 
@@ -228,9 +228,9 @@
 
 	const [place] = world.inTransit.splice(position % world.inTransit.length, 1);
 	const gate = gateOf(world, place!);
-	if (admitAtDoor(gate, place!).type === 'start') {
+	if (admitAtGate(gate, place!).type === 'start') {
 		world.runs.push(place!.attemptId);
-		finishAtDoor(gate, place!.attemptId, 'ran');
+		finishAtGate(gate, place!.attemptId, 'ran');
 	}
 };
 
@@ -257,7 +257,7 @@
 			} else if (type === 'arrive') {
 				deliver(world, index);
 			} else {
-				world.gates[index] = createDoor({capacity: 10, incarnation: world.nextIncarnation++});
+				world.gates[index] = createRequestGate({capacity: 10, incarnation: world.nextIncarnation++});
 			}
 		}
 
--- a/packages/coordination/test/claims-model.test.ts
+++ b/packages/coordination/test/claims-model.test.ts
@@ -4,7 +4,7 @@
 	applyClaim, concludeClaim, createLedger, hostId, idempotencyKey, moveClaim, requestId, serviceId, teamId, type ClaimPlace,
 } from '@bitternpaddle/state';
 import {
-	admitAtDoor, createDoor, finishAtDoor, settleAtDoor, type DoorState,
+	admitAtGate, createRequestGate, finishAtGate, resolveAtGate, type RequestGate,
 } from '@bitternpaddle/coordination';
 
 const seed = 20_261_202;
@@ -25,7 +25,7 @@
 
 const createWorld = () => ({
 	ledger: createLedger(),
-	gates: Array.from({length: gateCount}, (_, index): DoorState => createDoor({capacity: 10, incarnation: index + 1})),
+	gates: Array.from({length: gateCount}, (_, index): RequestGate => createRequestGate({capacity: 10, incarnation: index + 1})),
 	entries: Array.from({length: entryCount}, (_, index): Entry => ({
 		id: `r${index}`, attempt: 0, step: 'claim', place: null, held: null,
 	})),
@@ -40,7 +40,7 @@
 	teamId: teamId('marshals'), serviceId: serviceId('ledger'), key: idempotencyKey('pitch-12'), requestId: requestId(id),
 });
 
-const gateOf = (world: World, {hostId: host}: ClaimPlace): DoorState => world.gates[Number(host.slice(1))]!;
+const gateOf = (world: World, {hostId: host}: ClaimPlace): RequestGate => world.gates[Number(host.slice(1))]!;
 
 const nextPlace = (world: World, entry: Entry): ClaimPlace => {
 	entry.attempt++;
@@ -85,7 +85,7 @@
 
 		// The connection is always lost, which is the worst case.
 		case 'await': {
-			const result = settleAtDoor(gateOf(world, entry.place!), entry.place!);
+			const result = resolveAtGate(gateOf(world, entry.place!), entry.place!);
 			entry.step = result === 'notRun' ? 'move' : 'done';
 			break;
 		}
@@ -100,7 +100,7 @@
 
 		case 'settle': {
 			const {held} = entry;
-			if (settleAtDoor(gateOf(world, held!.place), held!.place) === 'notRun') {
+			if (resolveAtGate(gateOf(world, held!.place), held!.place) === 'notRun') {
 				concludeNotRun(world, held!.requestId, held!.place);
 			}
 
@@ -121,9 +121,9 @@
 
 	const [place] = world.inTransit.splice(position % world.inTransit.length, 1);
 	const gate = gateOf(world, place!);
-	if (admitAtDoor(gate, place!).type === 'start') {
+	if (admitAtGate(gate, place!).type === 'start') {
 		world.runs.push(place!.attemptId);
-		finishAtDoor(gate, place!.attemptId, 'ran');
+		finishAtGate(gate, place!.attemptId, 'ran');
 	}
 };
 
@@ -145,7 +145,7 @@
 			} else if (type === 'arrive') {
 				deliver(world, index);
 			} else {
-				world.gates[index] = createDoor({capacity: 10, incarnation: world.nextIncarnation++});
+				world.gates[index] = createRequestGate({capacity: 10, incarnation: world.nextIncarnation++});
 			}
 		}
 
--- a/packages/coordination/test/configuration-schedules.test.ts
+++ b/packages/coordination/test/configuration-schedules.test.ts
@@ -5,16 +5,16 @@
 	applyChange, createCatalog, modelId, type Catalog,
 } from '@bitternpaddle/state';
 import {
-	changesSince, createChangeHistory, createHostConfiguration, decideWatch, grantedLeaseMs, hasConfigurationLease, leaseTimes, recordChange, takeWatchResult,
-	type HostConfiguration, type HostTime, type LeaderWord,
+	changesSince, createChangeHistory, createHostConfiguration, decideWatch, grantedLeaseMs, hasConfigurationLease, leaseTimes, recordChange, applyWatchResult,
+	type HostConfiguration, type HostTime, type LeaderLease,
 } from '@bitternpaddle/coordination';
 
 const seed = 41_203;
-const {hostLeaseMs, wordMs} = leaseTimes;
+const {hostLeaseMs, leaderLeaseMs: wordMs} = leaseTimes;
 /** Maximum time after the acceptance of a change for which a host may act on the replaced configuration. */
 const maxStalenessMs = Math.max(hostLeaseMs, wordMs);
 
-type Member = {catalog: Catalog; grant: LeaderWord | null; isPartitioned: boolean};
+type Member = {catalog: Catalog; grant: LeaderLease | null; isPartitioned: boolean};
 
 type Call = {readonly start: number; readonly sentAt: HostTime; readonly arrivedAtMs: number; readonly revision: number; readonly member: number};
 
@@ -50,7 +50,7 @@
 	requestLeaderLease(member: Member): void {
 		this.nowMs += 0.01;
 		if (!member.isPartitioned) {
-			member.grant = {askedAtMs: this.nowMs, untilMs: this.nowMs + wordMs, revision: this.leader.revision};
+			member.grant = {requestedAtMs: this.nowMs, untilMs: this.nowMs + wordMs, revision: this.leader.revision};
 		}
 	}
 
@@ -66,7 +66,7 @@
 		const position = this.calls.findIndex(({member, revision, arrivedAtMs}) => {
 			const {grant, catalog} = this.members[member]!;
 			return ['answer', 'hold'].includes(decideWatch({
-				word: grant, ownRevision: catalog.revision, hostRevision: revision, arrivedAtMs, nowMs: this.nowMs,
+				leaderLease: grant, ownRevision: catalog.revision, hostRevision: revision, arrivedAtMs, nowMs: this.nowMs,
 			}));
 		});
 		const [call] = position === -1 ? [] : this.calls.splice(position, 1);
@@ -83,7 +83,7 @@
 		this.answers.push({
 			call, result: {
 				type: 'changes', changes: changesSince(history, call.revision)!, revision: catalog.revision, digest: catalog.digest,
-				leaseMs: grantedLeaseMs({word: grant!, hostLeaseMs, arrivedAtMs: call.arrivedAtMs}),
+				leaseMs: grantedLeaseMs({lease: grant!, hostLeaseMs, arrivedAtMs: call.arrivedAtMs}),
 			},
 		});
 	}
@@ -94,7 +94,7 @@
 			return;
 		}
 
-		if (takeWatchResult(this.host, answer.result, answer.call.sentAt) === 'diverged') {
+		if (applyWatchResult(this.host, answer.result, answer.call.sentAt) === 'diverged') {
 			throw new Error(`an answer with revision ${answer.result.type === 'changes' ? answer.result.revision : 0} made the host discard its copy`);
 		}
 	}
@@ -221,7 +221,7 @@
 	const granted: WatchResult = {
 		type: 'changes', changes: [], revision: 0, digest: '', leaseMs: hostLeaseMs,
 	};
-	t.equal(takeWatchResult(host, granted, {monotonicMs: 100, wallMs: 50_000}), 'current');
+	t.equal(applyWatchResult(host, granted, {monotonicMs: 100, wallMs: 50_000}), 'current');
 	t.ok(hasConfigurationLease(host, {monotonicMs: 99 + hostLeaseMs, wallMs: 49_999 + hostLeaseMs}));
 	t.notOk(hasConfigurationLease(host, {monotonicMs: 100 + hostLeaseMs, wallMs: 50_001}));
 	t.notOk(hasConfigurationLease(host, {monotonicMs: 101, wallMs: 50_000 + hostLeaseMs}));
@@ -234,6 +234,6 @@
 	const delayedResult: WatchResult = {
 		type: 'changes', changes: [], revision: 0, digest: '', leaseMs: hostLeaseMs,
 	};
-	takeWatchResult(host, delayedResult, {monotonicMs: 1000, wallMs: 1000});
+	applyWatchResult(host, delayedResult, {monotonicMs: 1000, wallMs: 1000});
 	t.notOk(hasConfigurationLease(host, {monotonicMs: 9000, wallMs: 9000}), 'the request was sent at 1000 and the answer arrives at 9000');
 });
--- a/packages/coordination/test/ejection-cap.test.ts
+++ b/packages/coordination/test/ejection-cap.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import {createCatalog, type Catalog, type HostRecord} from '@bitternpaddle/state';
 import {
-	chooseEndpoint, createRandom, createRouter, noteEnd, noteStart, tickRouter, updateRouter, type RouterOptions, type RouterState,
+	chooseEndpoint, createRandom, createRouter, recordEnd, recordStart, tickRouter, updateRouter, type RouterOptions, type RouterState,
 } from '@bitternpaddle/coordination';
 
 const recordOf = (hostId: string): HostRecord => ({
@@ -43,8 +43,8 @@
 	tickRouter(router, nowMs);
 	const hostId = choose(router, nowMs);
 	if (hostId !== null) {
-		noteStart(router, hostId, nowMs);
-		noteEnd(router, hostId, {outcome: {type: 'failed'}, hadFirstByte: false}, nowMs + 1);
+		recordStart(router, hostId, nowMs);
+		recordEnd(router, hostId, {outcome: {type: 'failed'}, hadFirstByte: false}, nowMs + 1);
 	}
 };
 
--- a/packages/coordination/test/entry-shares.test.ts
+++ b/packages/coordination/test/entry-shares.test.ts
@@ -3,7 +3,7 @@
 import {match} from 'ts-pattern';
 import {createShareWorld, rate, type ShareWorld} from './share-world.js';
 import {
-	answerShareRequest, createEntryShares, setTeamRates, shareOf, takeEntries, takeShareAnswer, tickShares,
+	answerShareRequest, createEntryShares, setTeamRates, shareOf, updateEntries, applyShareAnswer, tickShares,
 } from '@bitternpaddle/coordination';
 
 const startThree = (world: ShareWorld, demands: readonly number[]): void => {
@@ -45,11 +45,11 @@
 t.test('a loan whose answer was lost counts until it expires', async t => {
 	const lender = createEntryShares({entryId: 'lender', incarnation: 1});
 	setTeamRates(lender, new Map([['t', rate]]));
-	takeEntries(lender, ['lender', 'other'], {askedAtMs: 0, nowMs: 0});
+	updateEntries(lender, ['lender', 'other'], {askedAtMs: 0, nowMs: 0});
 	const ask = (number: number, taken: number, wanted: number, nowMs: number) => answerShareRequest(lender, {
 		entryId: 'other', incarnation: 1, number, taken, wants: {t: wanted},
 	}, nowMs);
-	takeShareAnswer(lender, 'other', {
+	applyShareAnswer(lender, 'other', {
 		incarnation: 1, number: 1, isCounted: true, entryIds: [], waitMs: 0, loans: {},
 	}, {sentAtMs: 0, nowMs: 0});
 	tickShares(lender, new Map(), 0);
@@ -122,7 +122,7 @@
 	const world = createShareWorld();
 	startThree(world, [2 * rate, 2 * rate, 2 * rate]);
 	world.run(300);
-	takeEntries(world.entry('e0').shares, ['e0'], {askedAtMs: 6200, nowMs: 6200});
+	updateEntries(world.entry('e0').shares, ['e0'], {askedAtMs: 6200, nowMs: 6200});
 	world.run(300);
 	t.equal(world.share('e0'), rate / 3);
 	world.run(5000);
@@ -137,11 +137,11 @@
 		entryId: 'e1', incarnation: 1, number: nowMs, taken: 0, wants: {},
 	}, nowMs).isCounted;
 	t.notOk(isCounted(1), 'not listed yet');
-	takeEntries(shares, ['e0', 'e1'], {askedAtMs: 2, nowMs: 2});
+	updateEntries(shares, ['e0', 'e1'], {askedAtMs: 2, nowMs: 2});
 	t.ok(isCounted(3));
-	takeEntries(shares, ['e0'], {askedAtMs: 4, nowMs: 4});
+	updateEntries(shares, ['e0'], {askedAtMs: 4, nowMs: 4});
 	t.notOk(isCounted(5));
-	takeEntries(shares, ['e0', 'e1'], {askedAtMs: 6, nowMs: 6});
+	updateEntries(shares, ['e0', 'e1'], {askedAtMs: 6, nowMs: 6});
 	t.ok(isCounted(7));
 });
 
--- a/packages/coordination/test/host-numbers.test.ts
+++ b/packages/coordination/test/host-numbers.test.ts
@@ -1,7 +1,7 @@
 import t from 'tap';
 import {createCatalog, type Catalog, type HostRecord} from '@bitternpaddle/state';
 import {
-	chooseEndpoint, createRandom, createRouter, inFlightOn, estimatedLoad, noteEnd, noteLoadReport, noteStart, tickRouter, updateRouter, type RequestOutcome, type RouterState,
+	chooseEndpoint, createRandom, createRouter, inFlightOn, estimatedLoad, recordEnd, recordLoadReport, recordStart, tickRouter, updateRouter, type RequestOutcome, type RouterState,
 } from '@bitternpaddle/coordination';
 
 const addHost = (catalog: Catalog, hostId: string): void => {
@@ -33,7 +33,7 @@
 };
 
 const finish = (router: RouterState, hostId: string, outcome: RequestOutcome, nowMs: number): void => {
-	noteEnd(router, hostId, {outcome, hadFirstByte: false}, nowMs);
+	recordEnd(router, hostId, {outcome, hadFirstByte: false}, nowMs);
 };
 
 // A host that failed is removed, and a new host reuses its slot in the array of
@@ -42,7 +42,7 @@
 t.test('a new host inherits nothing from a removed one', async t => {
 	const {catalog, router} = setUp(4);
 	for (let index = 0; index < 3; index++) {
-		noteStart(router, 'h1', index);
+		recordStart(router, 'h1', index);
 		finish(router, 'h1', {type: 'failed'}, index);
 	}
 
@@ -84,7 +84,7 @@
 			finish(router, hostId, {type: 'answered', latencyMs: 5}, step);
 			expected.set(hostId, running - 1);
 		} else {
-			noteStart(router, hostId, step);
+			recordStart(router, hostId, step);
 			expected.set(hostId, running + 1);
 		}
 	}
@@ -100,13 +100,13 @@
 t.test('a load report is compared with the earlier starts', async t => {
 	const {router} = setUp(2);
 	for (const atMs of [10, 20, 30, 40]) {
-		noteStart(router, 'h0', atMs);
-		noteStart(router, 'h1', atMs + 1);
+		recordStart(router, 'h0', atMs);
+		recordStart(router, 'h1', atMs + 1);
 	}
 
 	finish(router, 'h0', {type: 'cancelled'}, 45);
-	noteLoadReport(router, 'h0', {running: 3, ageMs: 15}, 50);
+	recordLoadReport(router, 'h0', {running: 3, ageMs: 15}, 50);
 	t.equal(estimatedLoad(router, 'h0', 50), 4, 'of three that ran at 35, one belongs to another entry');
-	noteLoadReport(router, 'h1', {running: 4, ageMs: 5}, 50);
+	recordLoadReport(router, 'h1', {running: 4, ageMs: 5}, 50);
 	t.equal(estimatedLoad(router, 'h1', 50), 4, 'all four belong to this entry');
 });
--- a/packages/coordination/test/lease-times.test.ts
+++ b/packages/coordination/test/lease-times.test.ts
@@ -1,15 +1,15 @@
 import fc from 'fast-check';
 import t from 'tap';
 import {
-	createHostConfiguration, decideWatch, grantedLeaseMs, hasConfigurationLease, leaseLeftMs, leaseTimes, takeWatchResult, watchCallTimes, type HostTime, type LeaderWord,
+	createHostConfiguration, decideWatch, grantedLeaseMs, hasConfigurationLease, leaseLeftMs, leaseTimes, applyWatchResult, watchCallTimes, type HostTime, type LeaderLease,
 } from '@bitternpaddle/coordination';
 
 const seed = 2505;
-const {hostLeaseMs, wordMs, askMs, askTimeoutMs, retryMs} = leaseTimes;
+const {hostLeaseMs, leaderLeaseMs: wordMs, leaderRequestIntervalMs: askMs, leaderRequestTimeoutMs: askTimeoutMs, retryDelayMs: retryMs} = leaseTimes;
 const drainBoundMs = 3000;
 const runMs = 20_000;
 
-type ReceivedLease = LeaderWord & {readonly receivedAtMs: number};
+type ReceivedLease = LeaderLease & {readonly receivedAtMs: number};
 
 type Outage = {readonly startMs: number; readonly endMs: number};
 
@@ -30,7 +30,7 @@
 		freeAtMs = askedAtMs + (isLost ? askTimeoutMs : rttMs);
 		if (!isLost) {
 			leaderLeases.push({
-				askedAtMs, untilMs: askedAtMs + wordMs, revision: 1, receivedAtMs: freeAtMs,
+				requestedAtMs: askedAtMs, untilMs: askedAtMs + wordMs, revision: 1, receivedAtMs: freeAtMs,
 			});
 		}
 	}
@@ -54,7 +54,7 @@
 		const answeredAtMs = arrivedAtMs + holdMs;
 		const grant = leaderLeases.findLast(({receivedAtMs}) => receivedAtMs <= answeredAtMs) ?? null;
 		const decision = decideWatch({
-			word: grant, ownRevision: 1, hostRevision: 1, arrivedAtMs, nowMs: answeredAtMs,
+			leaderLease: grant, ownRevision: 1, hostRevision: 1, arrivedAtMs, nowMs: answeredAtMs,
 		});
 		const isTimedOut = isLost(sentAtMs, call) || holdMs + rttMs > timeoutMs;
 		nowMs = isTimedOut ? sentAtMs + timeoutMs : answeredAtMs + (rttMs / 2);
@@ -69,8 +69,8 @@
 			gaps.push(nowMs);
 		}
 
-		takeWatchResult(host, {
-			type: 'changes', changes: [], revision: 1, digest: host.catalog.digest, leaseMs: grantedLeaseMs({word: grant!, hostLeaseMs, arrivedAtMs}),
+		applyWatchResult(host, {
+			type: 'changes', changes: [], revision: 1, digest: host.catalog.digest, leaseMs: grantedLeaseMs({lease: grant!, hostLeaseMs, arrivedAtMs}),
 		}, at(sentAtMs));
 	}
 
@@ -87,13 +87,13 @@
 t.test('ends the last lease within the drain bound in the worst case', async t => {
 	fc.assert(fc.property(fc.integer({min: 0, max: wordMs - 1}), fc.integer({min: 0, max: 600}), (requestToArrivalMs, inTransitMs) => {
 		const drainedAtMs = 10_000;
-		const grant: LeaderWord = {askedAtMs: drainedAtMs, untilMs: drainedAtMs + wordMs, revision: 1};
+		const grant: LeaderLease = {requestedAtMs: drainedAtMs, untilMs: drainedAtMs + wordMs, revision: 1};
 		const arrivedAtMs = drainedAtMs + requestToArrivalMs;
-		const leaseMs = grantedLeaseMs({word: grant, hostLeaseMs, arrivedAtMs});
+		const leaseMs = grantedLeaseMs({lease: grant, hostLeaseMs, arrivedAtMs});
 		return arrivedAtMs - inTransitMs + leaseMs <= drainedAtMs + wordMs;
 	}), {seed, numRuns: 2000});
-	const leader: LeaderWord = {askedAtMs: Number.POSITIVE_INFINITY, untilMs: Number.POSITIVE_INFINITY, revision: 1};
-	t.equal(grantedLeaseMs({word: leader, hostLeaseMs, arrivedAtMs: 0}), hostLeaseMs, 'the leader itself grants a full lease');
+	const leader: LeaderLease = {requestedAtMs: Number.POSITIVE_INFINITY, untilMs: Number.POSITIVE_INFINITY, revision: 1};
+	t.equal(grantedLeaseMs({lease: leader, hostLeaseMs, arrivedAtMs: 0}), hostLeaseMs, 'the leader itself grants a full lease');
 	t.ok(Math.max(wordMs, hostLeaseMs) <= drainBoundMs - 500, 'the drain bound leaves a margin of half a second');
 });
 
--- a/packages/coordination/test/path-delay.test.ts
+++ b/packages/coordination/test/path-delay.test.ts
@@ -1,6 +1,6 @@
 import t from 'tap';
 import {
-	createLinkStrain, createPathDelay, createStandstill, hasStoodStill, lookAtClock, noteFetch, notePath, strainRestMs,
+	createLinkStrain, createPathDelay, createProcessStall, hasStalled, checkClock, recordFetch, recordPathDelay, strainBackoffMs,
 } from '@bitternpaddle/coordination';
 
 // Guards against sending requests over a congested link. When a host's link drops to a
@@ -9,13 +9,13 @@
 t.test('congestion on a path shows in the arrival times of the reports', async t => {
 	const path = createPathDelay();
 	for (let sentAtMs = 0; sentAtMs < 1000; sentAtMs += 100) {
-		notePath(path, sentAtMs, 50_000 + sentAtMs + 2);
+		recordPathDelay(path, sentAtMs, 50_000 + sentAtMs + 2);
 	}
 
 	t.equal(path.delayMs, 0, 'the clocks need not agree');
-	notePath(path, 1000, 51_402);
+	recordPathDelay(path, 1000, 51_402);
 	t.equal(path.delayMs, 400);
-	notePath(path, 1100, 51_102);
+	recordPathDelay(path, 1100, 51_102);
 	t.equal(path.delayMs, 0);
 });
 
@@ -24,9 +24,9 @@
 // windows, the new difference is the baseline.
 t.test('a step of the remote clock is forgotten', async t => {
 	const path = createPathDelay();
-	notePath(path, 0, 100_000);
+	recordPathDelay(path, 0, 100_000);
 	for (let sentAtMs = 100; sentAtMs < 20_000; sentAtMs += 100) {
-		notePath(path, sentAtMs, 103_000 + sentAtMs);
+		recordPathDelay(path, sentAtMs, 103_000 + sentAtMs);
 	}
 
 	t.equal(path.delayMs, 0);
@@ -34,15 +34,15 @@
 
 t.test('slow fetches from several sources are attributed to the host\'s own link; from one, to that source', async t => {
 	const strain = createLinkStrain();
-	noteFetch(strain, 'a', true, 0);
-	noteFetch(strain, 'a', true, 100);
-	t.equal(strainRestMs(strain, 100), 0);
-	noteFetch(strain, 'b', false, 200);
-	noteFetch(strain, 'b', true, 300);
-	t.equal(strainRestMs(strain, 300), 0, 'a quick fetch in between clears the link');
-	noteFetch(strain, 'a', true, 400);
-	t.ok(strainRestMs(strain, 400) > 0);
-	t.equal(strainRestMs(strain, 5000), 0);
+	recordFetch(strain, 'a', true, 0);
+	recordFetch(strain, 'a', true, 100);
+	t.equal(strainBackoffMs(strain, 100), 0);
+	recordFetch(strain, 'b', false, 200);
+	recordFetch(strain, 'b', true, 300);
+	t.equal(strainBackoffMs(strain, 300), 0, 'a quick fetch in between clears the link');
+	recordFetch(strain, 'a', true, 400);
+	t.ok(strainBackoffMs(strain, 400) > 0);
+	t.equal(strainBackoffMs(strain, 5000), 0);
 });
 
 // Guards against mistaking a process stall for a slow link. A host is frozen for four
@@ -50,14 +50,14 @@
 // Its fetches then appear to have taken four seconds; with the link considered slow,
 // it would refuse its chunks to the other hosts for seconds more.
 t.test('a process detects its own stall', async t => {
-	const standstill = createStandstill(0);
+	const standstill = createProcessStall(0);
 	for (let nowMs = 100; nowMs <= 1000; nowMs += 100) {
-		lookAtClock(standstill, nowMs);
+		checkClock(standstill, nowMs);
 	}
 
-	t.notOk(hasStoodStill(standstill, 200, 1050), 'the clock was checked all the time');
-	t.ok(hasStoodStill(standstill, 900, 5000), 'a fetch ends before the next check');
-	lookAtClock(standstill, 5001);
-	t.ok(hasStoodStill(standstill, 900, 5050), 'a fetch that started before the stall');
-	t.notOk(hasStoodStill(standstill, 5010, 5090), 'a fetch that started after it');
+	t.notOk(hasStalled(standstill, 200, 1050), 'the clock was checked all the time');
+	t.ok(hasStalled(standstill, 900, 5000), 'a fetch ends before the next check');
+	checkClock(standstill, 5001);
+	t.ok(hasStalled(standstill, 900, 5050), 'a fetch that started before the stall');
+	t.notOk(hasStalled(standstill, 5010, 5090), 'a fetch that started after it');
 });
--- a/packages/coordination/test/permit-account.test.ts
+++ b/packages/coordination/test/permit-account.test.ts
@@ -1,6 +1,6 @@
 import t from 'tap';
 import {
-	createPermitAccount, createRandom, notePermitReply, permitState, permitsToRequest, usePermit, type PermitTerms,
+	createPermitAccount, createRandom, recordPermitReply, permitState, permitsToRequest, usePermit, type PermitTerms,
 } from '@bitternpaddle/coordination';
 
 const terms: PermitTerms = {perSecond: 2, entryCount: 8, random: createRandom(1)};
@@ -11,23 +11,23 @@
 	t.match(permitState(account, terms, 1000), {type: 'limited', nextAtMs: 1000 + 4000, gapMs: 4000});
 	t.equal(permitsToRequest(account, terms.perSecond, 1000), 1);
 	t.match(permitState(account, terms, 1000), {nextAtMs: 1040, gapMs: 4000}, 'the reply to the pending request is expected soon');
-	notePermitReply(account, {type: 'queued', waitMs: 1500}, 1010);
+	recordPermitReply(account, {type: 'queued', waitMs: 1500}, 1010);
 	t.match(permitState(account, terms, 1010), {nextAtMs: 2510, gapMs: 1500});
 	t.equal(permitsToRequest(account, terms.perSecond, 1140), 1);
 	t.match(permitState(account, terms, 1140), {nextAtMs: 2510, gapMs: 1500}, 'a renewed request keeps the estimate');
-	notePermitReply(account, {type: 'queued', waitMs: 1360}, 1150);
+	recordPermitReply(account, {type: 'queued', waitMs: 1360}, 1150);
 	t.match(permitState(account, terms, 1450), {nextAtMs: 5450, gapMs: 4000}, 'the queued request has timed out');
 });
 
 t.test('a permit is used once, and not after it has expired', async t => {
 	const account = createPermitAccount();
 	permitsToRequest(account, terms.perSecond, 1000);
-	notePermitReply(account, {type: 'granted', count: 1}, 1010);
+	recordPermitReply(account, {type: 'granted', count: 1}, 1010);
 	t.match(permitState(account, terms, 1999), {type: 'available'});
 	usePermit(account, terms, 1999);
 	t.match(permitState(account, terms, 1999), {type: 'limited', gapMs: 4000});
 	permitsToRequest(account, terms.perSecond, 2000);
-	notePermitReply(account, {type: 'granted', count: 1}, 2010);
+	recordPermitReply(account, {type: 'granted', count: 1}, 2010);
 	t.match(permitState(account, terms, 3011), {type: 'limited'});
 });
 
--- a/packages/coordination/test/placement-crowd.test.ts
+++ b/packages/coordination/test/placement-crowd.test.ts
@@ -1,6 +1,6 @@
 import t from 'tap';
 import {
-	createArrivalRate, arrivalsPerSecond, noteArrival, spreadRequests,
+	createArrivalRate, arrivalsPerSecond, recordArrival, spreadRequests,
 } from '@bitternpaddle/coordination';
 
 t.test('requests are spread so that all engines that receive any reach the same wait', async t => {
@@ -14,7 +14,7 @@
 	const rate = createArrivalRate();
 	t.equal(arrivalsPerSecond(rate, 0), 0);
 	for (let atMs = 0; atMs < 20_000; atMs += 50) {
-		noteArrival(rate, atMs);
+		recordArrival(rate, atMs);
 	}
 
 	t.ok(Math.abs(arrivalsPerSecond(rate, 20_000) - 20) < 1, `${arrivalsPerSecond(rate, 20_000)} per second, expected 20`);
--- a/packages/coordination/test/placement.test.ts
+++ b/packages/coordination/test/placement.test.ts
@@ -1,10 +1,10 @@
 import type {EngineProfile} from '@bitternpaddle/state';
 import t from 'tap';
 import {
-	effectiveObjectiveOf, createCallerPatience, createObjectiveMix, createSpareRoom, hasComeBefore, isOverloaded, mayWaitForCapacity, noteFirstDeadline, noteObjective, noteRefused,
+	effectiveObjectiveOf, createFirstAttemptDeadlines, createObjectiveMix, createSpareCapacity, isCallerRetry, isOverloaded, mayWaitForCapacity, recordFirstDeadline, recordObjective, recordRefusal,
 	recordSpareCapacity, strictestObjectiveMs, urgencyOf, type UrgencyOptions,
-	admitRequest, createEndpointHealth, createEndpointLoad, createRandom, createRetryAllowance, createSwitchPermits, demandOf, firstTokenMs, slotHoldMs, isResting,
-	noteFailure, noteLag, noteRequest, noteSuccess, placeRequest, returnPermit, takeAttempt, takePermit, type Candidate, type EngineReport, type PlaceOptions,
+	admitRequest, createEndpointHealth, createEndpointLoad, createRandom, createRetryAllowance, createSwitchPermits, demandOf, firstTokenMs, slotHoldMs, isBackingOff,
+	recordFailure, recordLag, recordRequest, recordSuccess, placeRequest, returnPermit, takeAttempt, takePermit, type Candidate, type EngineReport, type PlaceOptions,
 } from '@bitternpaddle/coordination';
 
 const profile: EngineProfile = {
@@ -59,7 +59,7 @@
 	stuck.load.awaiting.set(1, {promptTokens: 973, sentAtMs: 500, expectedMs: 110});
 	t.equal(place([stuck, other]), 'other');
 	stuck.load.awaiting.clear();
-	noteLag(stuck.load, 800, 1050);
+	recordLag(stuck.load, 800, 1050);
 	t.equal(place([stuck, other]), 'other', 'its lag is remembered');
 	const later = [stuck, other].map(candidate => ({...candidate, load: {...candidate.load, reportedAtMs: 9000}}));
 	t.equal(place(later, {nowMs: 9050}), 'stuck', 'the lag decays');
@@ -110,24 +110,24 @@
 	let hasBackedOff = false;
 	for (let request = 0; request < 40 && !hasBackedOff; request++) {
 		if (request % 5 < 2) {
-			hasBackedOff = noteFailure(health, 0.05, 1000);
+			hasBackedOff = recordFailure(health, 0.05, 1000);
 		} else {
-			noteSuccess(health);
+			recordSuccess(health);
 		}
 	}
 
 	t.ok(hasBackedOff);
-	t.ok(isResting(health, 1100));
-	t.notOk(isResting(health, 1000 + 4001));
+	t.ok(isBackingOff(health, 1100));
+	t.notOk(isBackingOff(health, 1000 + 4001));
 });
 
 t.test('an endpoint that fails no more often than the others is not put into backoff', async t => {
 	const health = createEndpointHealth();
 	for (let request = 0; request < 200; request++) {
 		if (request % 7 === 0) {
-			t.notOk(noteFailure(health, 0.14, 1000));
+			t.notOk(recordFailure(health, 0.14, 1000));
 		} else {
-			noteSuccess(health);
+			recordSuccess(health);
 		}
 	}
 });
@@ -138,7 +138,7 @@
 t.test('further attempts stay within the share of the requests plus this entry\'s part of the allowance', async t => {
 	const allowance = createRetryAllowance({windowMs: 10_000, share: 0.2});
 	for (let request = 0; request < 100; request++) {
-		noteRequest(allowance, request * 10);
+		recordRequest(allowance, request * 10);
 	}
 
 	let taken = 0;
@@ -187,17 +187,17 @@
 	t.equal(admit({expectedMs: 235, hasComeBack: true, isOverloaded: true}).type, 'refused');
 	const mix = createObjectiveMix();
 	for (let nowMs = 0; nowMs < 4000; nowMs += 50) {
-		noteObjective(mix, 400, nowMs);
+		recordObjective(mix, 400, nowMs);
 	}
 
 	t.notOk(isOverloaded(mix, 4000));
 	for (let nowMs = 3500; nowMs < 4000; nowMs += 100) {
-		noteRefused(mix, 400, nowMs);
+		recordRefusal(mix, 400, nowMs);
 	}
 
 	t.ok(isOverloaded(mix, 4000));
 	for (let nowMs = 4000; nowMs < 12_000; nowMs += 50) {
-		noteObjective(mix, 400, nowMs);
+		recordObjective(mix, 400, nowMs);
 	}
 
 	t.notOk(isOverloaded(mix, 12_000), 'no first attempts have been refused since');
@@ -221,21 +221,21 @@
 // route's timeout is six; every other caller would be queued behind the others
 // although it was never refused.
 t.test('a deadline shorter than the timeout is not enough to classify a request as a retry', async t => {
-	const patience = createCallerPatience();
+	const patience = createFirstAttemptDeadlines();
 	const timeoutMs = 6000;
-	t.notOk(hasComeBefore(patience, {deadlineMs: 5100, timeoutMs}), 'nothing is known yet');
-	t.ok(hasComeBefore(patience, {deadlineMs: 4000, timeoutMs}));
+	t.notOk(isCallerRetry(patience, {deadlineMs: 5100, timeoutMs}), 'nothing is known yet');
+	t.ok(isCallerRetry(patience, {deadlineMs: 4000, timeoutMs}));
 	for (let deadlineMs = 5100; deadlineMs <= 6900; deadlineMs += 100) {
-		noteFirstDeadline(patience, deadlineMs);
+		recordFirstDeadline(patience, deadlineMs);
 	}
 
-	t.notOk(hasComeBefore(patience, {deadlineMs: 5100, timeoutMs}), 'as short as some first attempts');
-	t.ok(hasComeBefore(patience, {deadlineMs: 5000, timeoutMs}), 'shorter than all first attempts');
+	t.notOk(isCallerRetry(patience, {deadlineMs: 5100, timeoutMs}), 'as short as some first attempts');
+	t.ok(isCallerRetry(patience, {deadlineMs: 5000, timeoutMs}), 'shorter than all first attempts');
 	for (let count = 0; count < 64; count++) {
-		noteFirstDeadline(patience, 3000);
+		recordFirstDeadline(patience, 3000);
 	}
 
-	t.notOk(hasComeBefore(patience, {deadlineMs: 3200, timeoutMs}), 'changed deadlines replace the old ones');
+	t.notOk(isCallerRetry(patience, {deadlineMs: 3200, timeoutMs}), 'changed deadlines replace the old ones');
 });
 
 // Guards against a tolerant class of requests taking the engines from a stricter one.
@@ -246,9 +246,9 @@
 	const mix = createObjectiveMix();
 	const addRequests = (objectiveMs: number, refusedOfTen: number, nowMs: number): void => {
 		for (let index = 0; index < 10; index++) {
-			noteObjective(mix, objectiveMs, nowMs);
+			recordObjective(mix, objectiveMs, nowMs);
 			if (index < refusedOfTen) {
-				noteRefused(mix, objectiveMs, nowMs);
+				recordRefusal(mix, objectiveMs, nowMs);
 			}
 		}
 	};
@@ -275,7 +275,7 @@
 // a moment, and the caller has no further retry although capacity is free a second
 // later. Under sustained overload there is none, and the caller is refused at once.
 t.test('a caller retry waits for capacity only if some was seen recently', async t => {
-	const capacity = createSpareRoom();
+	const capacity = createSpareCapacity();
 	t.notOk(mayWaitForCapacity(capacity, 0, 1000), 'none was ever seen');
 	recordSpareCapacity(capacity, 1000);
 	t.ok(mayWaitForCapacity(capacity, 0, 2000));
@@ -288,10 +288,10 @@
 // other had time to let it go first.
 t.test('within one priority, requests with less slack go first in the engines\' queues', async t => {
 	const urgency = (fields: Partial<UrgencyOptions>) => urgencyOf({
-		priority: 1, hasComeBack: false, objectiveMs: 400, ownReadMs: 50, usualSlackMs: 350, ...fields,
+		priority: 1, hasComeBack: false, objectiveMs: 400, promptPrefillMs: 50, usualSlackMs: 350, ...fields,
 	});
-	t.ok(urgency({ownReadMs: 170}) < urgency({}), 'a long prompt');
+	t.ok(urgency({promptPrefillMs: 170}) < urgency({}), 'a long prompt');
 	t.ok(urgency({objectiveMs: 500}) > urgency({}), 'a class with a longer objective');
-	t.ok(urgency({priority: 0, objectiveMs: 900}) < urgency({ownReadMs: 300}), 'a more urgent priority goes before all of them');
+	t.ok(urgency({priority: 0, objectiveMs: 900}) < urgency({promptPrefillMs: 300}), 'a more urgent priority goes before all of them');
 	t.equal(urgency({priority: 0, hasComeBack: true}), 9, 'a caller retry is late already');
 });
--- a/packages/coordination/test/presence.test.ts
+++ b/packages/coordination/test/presence.test.ts
@@ -1,13 +1,13 @@
 import fc from 'fast-check';
 import t from 'tap';
 import {match} from 'ts-pattern';
-import {hostReportSchema, type Fold, type HostReport} from '@bitternpaddle/protocol';
+import {hostReportSchema, type ReportAggregate, type HostReport} from '@bitternpaddle/protocol';
 import {
 	applyChange, createCatalog, type Catalog, type CatalogChange,
 } from '@bitternpaddle/state';
 import {
-	confirmedRevision, createLossBudget, createPresence, createReportFold, hearFold, hearWatch, inForceOf, isOutOfService, noteSilentMembers, planMembership,
-	resetPresence, restartFold, takeFold, type Presence, type ReportFold,
+	confirmedRevision, createLossBudget, createPresence, createReportAggregator, recordAggregate, recordWatch, inForceOf, isOutOfService, markSilentMembers, planMembership,
+	resetPresence, restartAggregator, takeAggregate, type Presence, type ReportAggregator,
 } from '@bitternpaddle/coordination';
 
 const options = {hostLeaseMs: 5000, memberLeaseMs: 3000};
@@ -22,24 +22,24 @@
 	},
 });
 
-const renew = (aggregator: ReportFold, {hostId, revision, session = 1, nowMs}: {hostId: string; revision: number; session?: number; nowMs: number}): void => {
-	if (!hearWatch(aggregator, {
+const renew = (aggregator: ReportAggregator, {hostId, revision, session = 1, nowMs}: {hostId: string; revision: number; session?: number; nowMs: number}): void => {
+	if (!recordWatch(aggregator, {
 		hostId, session, revision, report: null,
 	}, nowMs)) {
-		hearWatch(aggregator, {
+		recordWatch(aggregator, {
 			hostId, session, revision, report: entryReport(hostId, revision),
 		}, nowMs);
 	}
 };
 
-const send = (presence: Presence, aggregator: ReportFold, nowMs: number): number => {
-	const message = takeFold(aggregator, nowMs);
+const send = (presence: Presence, aggregator: ReportAggregator, nowMs: number): number => {
+	const message = takeAggregate(aggregator, nowMs);
 	if (message === null) {
 		return 0;
 	}
 
-	if (!hearFold(presence, message, nowMs)) {
-		restartFold(aggregator);
+	if (!recordAggregate(presence, message, nowMs)) {
+		restartAggregator(aggregator);
 	}
 
 	return JSON.stringify(message).length;
@@ -51,7 +51,7 @@
 t.test('sends the leader a message of constant size while no host changes', async t => {
 	const messageSizes = [1, 725].map(hosts => {
 		const presence = createPresence(options);
-		const aggregator = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
+		const aggregator = createReportAggregator({memberId: 'c1', silentMs: 5000, epoch: 1});
 		let idleBytes = 0;
 		for (let second = 0; second < 4; second++) {
 			for (let host = 0; host < hosts; host++) {
@@ -72,7 +72,7 @@
 // as silent. If the leader accepted that report, a live host would be lost.
 t.test('ignores a silence report from the control host that a host has left', async t => {
 	const presence = createPresence(options);
-	const [before, after] = ['c1', 'c2'].map(memberId => createReportFold({memberId, silentMs: 5000, epoch: 1})) as [ReportFold, ReportFold];
+	const [before, after] = ['c1', 'c2'].map(memberId => createReportAggregator({memberId, silentMs: 5000, epoch: 1})) as [ReportAggregator, ReportAggregator];
 	renew(before, {hostId: 'h1', revision: 1, nowMs: 0});
 	send(presence, before, 0);
 	renew(after, {
@@ -89,12 +89,12 @@
 // expired, it counts neither as in force nor as missing.
 t.test('counts a partitioned host as missing at first and as out of service once its lease expired', async t => {
 	const presence = createPresence(options);
-	const aggregator = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
+	const aggregator = createReportAggregator({memberId: 'c1', silentMs: 5000, epoch: 1});
 	renew(aggregator, {hostId: 'h1', revision: 5, nowMs: 0});
 	send(presence, aggregator, 0);
 	t.match(inForceOf(presence, 5, 10), {hosts: 1, inForce: 1});
 	t.match(inForceOf(presence, 6, 10), {hosts: 1, inForce: 0, missing: ['h1']});
-	noteSilentMembers(presence, 3001);
+	markSilentMembers(presence, 3001);
 	t.match(inForceOf(presence, 5, 3001), {hosts: 1, inForce: 0, missing: ['h1']});
 	t.match(inForceOf(presence, 5, 7999), {hosts: 1, inForce: 0, missing: ['h1']});
 	t.match(inForceOf(presence, 6, 8001), {
@@ -106,7 +106,7 @@
 // until it confirms; nothing more is sent for the other hosts.
 t.test('lists a host that is behind until it confirms the revision', async t => {
 	const presence = createPresence(options);
-	const aggregator = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
+	const aggregator = createReportAggregator({memberId: 'c1', silentMs: 5000, epoch: 1});
 	for (const [hostId, revision] of [['h1', 5], ['h2', 5], ['h3', 5]] as const) {
 		renew(aggregator, {hostId, revision, nowMs: 0});
 	}
@@ -126,16 +126,16 @@
 // the old message arrives. If accepted, it would count the host as in force.
 t.test('rejects an abandoned message that arrives late', async t => {
 	const presence = createPresence(options);
-	const aggregator = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
+	const aggregator = createReportAggregator({memberId: 'c1', silentMs: 5000, epoch: 1});
 	renew(aggregator, {hostId: 'h1', revision: 5, nowMs: 0});
-	const abandoned = takeFold(aggregator, 0)!;
-	restartFold(aggregator);
+	const abandoned = takeAggregate(aggregator, 0)!;
+	restartAggregator(aggregator);
 	renew(aggregator, {
 		hostId: 'h1', revision: 0, session: 2, nowMs: 1000,
 	});
 	send(presence, aggregator, 1000);
-	t.notOk(hearFold(presence, abandoned, 1100), 'full report of an earlier epoch');
-	t.notOk(hearFold(presence, {...abandoned, sequence: 1, hosts: []}, 1100), 'incremental report of an earlier epoch');
+	t.notOk(recordAggregate(presence, abandoned, 1100), 'full report of an earlier epoch');
+	t.notOk(recordAggregate(presence, {...abandoned, sequence: 1, hosts: []}, 1100), 'incremental report of an earlier epoch');
 	t.match(inForceOf(presence, 5, 1100), {hosts: 1, inForce: 0, missing: ['h1']});
 });
 
@@ -153,7 +153,7 @@
 	const step = fc.tuple(kind, fc.nat(2), fc.nat(4)) as fc.Arbitrary<Step>;
 	fc.assert(fc.property(fc.array(step, {maxLength: 150}), steps => {
 		const presence = createPresence(options);
-		const aggregators = ['c0', 'c1', 'c2'].map(memberId => createReportFold({memberId, silentMs: 5000, epoch: 1}));
+		const aggregators = ['c0', 'c1', 'c2'].map(memberId => createReportAggregator({memberId, silentMs: 5000, epoch: 1}));
 		const hosts = Array.from({length: 5}, () => ({
 			revision: 0, servedRevision: 0, session: 0, at: -1, leaseUntilMs: 0,
 		}));
@@ -176,15 +176,15 @@
 		};
 
 		const deliver = (at: number): void => {
-			const message = takeFold(aggregators[at]!, nowMs);
-			if (message !== null && hearFold(presence, message, nowMs)) {
+			const message = takeAggregate(aggregators[at]!, nowMs);
+			if (message !== null && recordAggregate(presence, message, nowMs)) {
 				memberLeaseUntilMs[at] = nowMs + options.memberLeaseMs;
 			} else if (message !== null) {
-				restartFold(aggregators[at]!);
+				restartAggregator(aggregators[at]!);
 			}
 		};
 
-		const lost: Fold[] = [];
+		const lost: ReportAggregate[] = [];
 		const run = ([kind, at, hostIndex]: Step): void => {
 			match(kind)
 				.with('watch', () => {
@@ -194,16 +194,16 @@
 					deliver(at);
 				})
 				.with('lose', () => {
-					const message = takeFold(aggregators[at]!, nowMs);
+					const message = takeAggregate(aggregators[at]!, nowMs);
 					if (message !== null) {
 						lost.push(message);
-						restartFold(aggregators[at]!);
+						restartAggregator(aggregators[at]!);
 					}
 				})
 				.with('late', () => {
 					const [late] = lost.splice(0, 1);
 					if (late !== undefined) {
-						hearFold(presence, late, nowMs);
+						recordAggregate(presence, late, nowMs);
 					}
 				})
 				.with('restart', () => {
@@ -220,7 +220,7 @@
 
 		for (const step of steps) {
 			run(step);
-			noteSilentMembers(presence, nowMs);
+			markSilentMembers(presence, nowMs);
 			for (const [position, host] of hosts.entries()) {
 				if (host.leaseUntilMs > nowMs && confirmedRevision(presence, `h${position}`) > host.revision) {
 					throw new Error(`h${position} counts as at revision ${confirmedRevision(presence, `h${position}`)}, but is at ${host.revision}`);
@@ -300,18 +300,18 @@
 t.test('removes a host sooner if it is silent and unreachable for an entry than if it is only silent', async t => {
 	const catalog = catalogOf([agentReport('h1'), agentReport('h2')]);
 	const presence = createPresence(options);
-	const aggregator = createReportFold({memberId: 'c1', silentMs: 5000, epoch: 1});
+	const aggregator = createReportAggregator({memberId: 'c1', silentMs: 5000, epoch: 1});
 	const plannedTypes = (nowMs: number) => planMembership({
 		catalog, presence, budget: createLossBudget(), nowMs, hostLossMs: 10_000,
 	}).map(change => change.type);
 
 	resetPresence(presence, ['h1'], 0);
-	hearWatch(aggregator, {
+	recordWatch(aggregator, {
 		hostId: 'h2', session: 1, revision: 1, report: agentReport('h2'),
 	}, 0);
 	send(presence, aggregator, 0);
 	t.same(plannedTypes(11_000), [], 'silence alone');
-	hearWatch(aggregator, {
+	recordWatch(aggregator, {
 		hostId: 'e1', session: 1, revision: 1, report: entryReport('e1', 1, ['h1', 'h2']),
 	}, 11_000);
 	send(presence, aggregator, 1000);
--- a/packages/coordination/test/quarantine.test.ts
+++ b/packages/coordination/test/quarantine.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import t from 'tap';
 import {
-	clearRequest, confirmEnded, confirmRestarted, createBrokenAttempts, createCrashLedger, createRandom, fingerprintOf, mayBeKnown, noteBroken, outlineIn, outlineOf, pruneLedger, takeSightings,
+	clearRequest, confirmExit, confirmRestart, createBrokenAttempts, createCrashLedger, createRandom, fingerprintOf, mayHaveRecords, recordBrokenAttempt, outlineIn, outlineOf, pruneLedger, addSightings,
 	verdictOn,
 	type CrashLedger, type CrashSighting, type FingerprintedRequest, type RequestFingerprint,
 } from '@bitternpaddle/coordination';
@@ -38,10 +38,10 @@
 
 t.test('three exits quarantine the one request that was at all of them', async t => {
 	const ledger = createCrashLedger();
-	takeSightings(ledger, exitOf('e1', 0, crashing, requestNamed('a'), requestNamed('b')), 0);
-	takeSightings(ledger, exitOf('e2', 100, crashing, requestNamed('c'), requestNamed('a')), 100);
+	addSightings(ledger, exitOf('e1', 0, crashing, requestNamed('a'), requestNamed('b')), 0);
+	addSightings(ledger, exitOf('e2', 100, crashing, requestNamed('c'), requestNamed('a')), 100);
 	t.notOk(isRefused(ledger, crashing, 100), 'two exits may be coincidence');
-	t.same(takeSightings(ledger, exitOf('e3', 200, requestNamed('d'), crashing), 200).verdicts.map(({fingerprint}) => fingerprint), [crashing]);
+	t.same(addSightings(ledger, exitOf('e3', 200, requestNamed('d'), crashing), 200).verdicts.map(({fingerprint}) => fingerprint), [crashing]);
 	for (const innocent of ['a', 'b', 'c', 'd']) {
 		t.notOk(isRefused(ledger, requestNamed(innocent), 200), innocent);
 	}
@@ -50,11 +50,11 @@
 t.test('sightings of one exit by several entries count once', async t => {
 	const ledger = createCrashLedger();
 	for (const atMs of [0, 40, 90]) {
-		takeSightings(ledger, exitOf('e1', atMs, crashing), atMs);
+		addSightings(ledger, exitOf('e1', atMs, crashing), atMs);
 	}
 
 	t.equal(ledger.ends.length, 1);
-	takeSightings(ledger, exitOf('e1', 700, crashing), 700);
+	addSightings(ledger, exitOf('e1', 700, crashing), 700);
 	t.equal(ledger.ends.length, 2, 'the exit of its next start is another one');
 });
 
@@ -64,7 +64,7 @@
 	const ledger = createCrashLedger();
 	const callers = ['a', 'b', 'c', 'd', 'e', 'f'].map(name => requestNamed(name));
 	for (const [index, address] of ['e1', 'e2', 'e3', 'e4'].entries()) {
-		takeSightings(ledger, exitOf(address, index * 100, ...callers), index * 100);
+		addSightings(ledger, exitOf(address, index * 100, ...callers), index * 100);
 	}
 
 	t.same(callers.filter(caller => isRefused(ledger, caller, 400)), []);
@@ -73,7 +73,7 @@
 t.test('a caller at three of eight exits is not refused', async t => {
 	const ledger = createCrashLedger();
 	for (let index = 0; index < 8; index++) {
-		takeSightings(ledger, exitOf(`e${index}`, index * 100, requestNamed(`n${index}`), ...(index % 3 === 0 ? [requestNamed('unlucky')] : [])), index * 100);
+		addSightings(ledger, exitOf(`e${index}`, index * 100, requestNamed(`n${index}`), ...(index % 3 === 0 ? [requestNamed('unlucky')] : [])), index * 100);
 	}
 
 	t.notOk(isRefused(ledger, requestNamed('unlucky'), 800));
@@ -84,7 +84,7 @@
 	const ledger = createCrashLedger();
 	for (const [index, address] of ['e1', 'e2', 'e3', 'e4'].entries()) {
 		t.notOk(isRefused(ledger, requestNamed('midway'), index * 100));
-		takeSightings(ledger, exitOf(address, index * 100, requestNamed('midway'), requestNamed(`n${index}`)), index * 100);
+		addSightings(ledger, exitOf(address, index * 100, requestNamed('midway'), requestNamed(`n${index}`)), index * 100);
 	}
 
 	t.ok(isRefused(ledger, requestNamed('midway'), 400));
@@ -94,7 +94,7 @@
 	const ledger = createCrashLedger();
 	for (const [index, address] of ['e1', 'e2', 'e3'].entries()) {
 		const [sighting] = exitOf(address, index * 100, crashing);
-		takeSightings(ledger, [{...sighting!, stage: 'waiting'}, sighting!, {...sighting!, stage: 'waiting'}], index * 100);
+		addSightings(ledger, [{...sighting!, stage: 'waiting'}, sighting!, {...sighting!, stage: 'waiting'}], index * 100);
 	}
 
 	t.ok(isRefused(ledger, crashing, 300));
@@ -103,11 +103,11 @@
 t.test('a verdict of another entry is adopted with three exits as evidence', async t => {
 	const ledger = createCrashLedger();
 	const unrelated = Array.from({length: 9}, (_, index) => exitOf(`n${index}`, index * 100, requestNamed(`n${index}`))).flat();
-	takeSightings(ledger, [...unrelated, ...exitOf('e1', 100, crashing), ...exitOf('e2', 500, crashing)], 900, new Set([crashing]));
+	addSightings(ledger, [...unrelated, ...exitOf('e1', 100, crashing), ...exitOf('e2', 500, crashing)], 900, new Set([crashing]));
 	t.notOk(isRefused(ledger, crashing, 900), 'its evidence is not complete yet');
-	takeSightings(ledger, exitOf('e3', 800, crashing), 900);
+	addSightings(ledger, exitOf('e3', 800, crashing), 900);
 	t.notOk(isRefused(ledger, crashing, 900), 'it does not stand out by the evidence here alone');
-	takeSightings(ledger, [], 900, new Set([crashing]));
+	addSightings(ledger, [], 900, new Set([crashing]));
 	t.ok(isRefused(ledger, crashing, 900));
 });
 
@@ -121,7 +121,7 @@
 		const callers = Array.from({length: 12}, (_, index) => ({name: `c${index}`, tries: 0, at: random.between(0, 7)}));
 		for (let index = 0; index < 8; index++) {
 			const taken = callers.filter(({at}) => at === index);
-			takeSightings(ledger, taken.map(({name}) => ({
+			addSightings(ledger, taken.map(({name}) => ({
 				fingerprint: requestNamed(name), address: `e${index}`, atMs: index * 100, stage: stages[random.between(0, 4)]!,
 			})), index * 100);
 			for (const caller of taken) {
@@ -139,7 +139,7 @@
 t.test('exits that are attributed to one request do not count against others', async t => {
 	const ledger = createCrashLedger();
 	for (let index = 0; index < 6; index++) {
-		takeSightings(ledger, exitOf(`e${index}`, index * 100, crashing, ...(index > 2 ? [requestNamed('neighbour')] : [])), index * 100);
+		addSightings(ledger, exitOf(`e${index}`, index * 100, crashing, ...(index > 2 ? [requestNamed('neighbour')] : [])), index * 100);
 	}
 
 	t.ok(isRefused(ledger, crashing, 600));
@@ -149,7 +149,7 @@
 t.test('two crashing requests at alternating exits are both found', async t => {
 	const ledger = createCrashLedger();
 	for (let index = 0; index < 12; index++) {
-		takeSightings(ledger, exitOf(`e${index}`, index * 100, index % 2 === 0 ? crashing : second, requestNamed(`n${index}`)), index * 100);
+		addSightings(ledger, exitOf(`e${index}`, index * 100, index % 2 === 0 ? crashing : second, requestNamed(`n${index}`)), index * 100);
 	}
 
 	t.ok(isRefused(ledger, crashing, 1200));
@@ -159,11 +159,11 @@
 t.test('a request that runs to completion is cleared, and stays so when old sightings arrive again', async t => {
 	const ledger = createCrashLedger();
 	const old = [...exitOf('e1', 0, crashing), ...exitOf('e2', 100, crashing)];
-	takeSightings(ledger, old, 100);
+	addSightings(ledger, old, 100);
 	clearRequest(ledger, {fingerprint: crashing, atMs: 150}, 150);
-	takeSightings(ledger, [...old, ...exitOf('e3', 200, crashing)], 200);
+	addSightings(ledger, [...old, ...exitOf('e3', 200, crashing)], 200);
 	t.notOk(isRefused(ledger, crashing, 200));
-	takeSightings(ledger, [...exitOf('e4', 300, crashing), ...exitOf('e5', 400, crashing)], 400);
+	addSightings(ledger, [...exitOf('e4', 300, crashing), ...exitOf('e5', 400, crashing)], 400);
 	t.ok(isRefused(ledger, crashing, 400), 'three later exits count again');
 	clearRequest(ledger, {fingerprint: crashing, atMs: 100}, 500);
 	t.ok(isRefused(ledger, crashing, 500), 'a run from before the exits proves nothing');
@@ -173,23 +173,23 @@
 
 t.test('a verdict expires, and is extended while the request keeps crashing endpoints', async t => {
 	const ledger = createCrashLedger();
-	takeSightings(ledger, [...exitOf('e1', 0, crashing), ...exitOf('e2', 100, crashing), ...exitOf('e3', 200, crashing)], 200);
+	addSightings(ledger, [...exitOf('e1', 0, crashing), ...exitOf('e2', 100, crashing), ...exitOf('e3', 200, crashing)], 200);
 	const {untilMs} = verdictOn(ledger, crashing, 200)!;
-	takeSightings(ledger, exitOf('e4', 5000, crashing), 5000);
+	addSightings(ledger, exitOf('e4', 5000, crashing), 5000);
 	t.equal(verdictOn(ledger, crashing, 5000)!.untilMs, untilMs + 4800);
 	t.notOk(isRefused(ledger, crashing, untilMs + 4800), 'a repaired endpoint is tried again');
-	const renewed = takeSightings(ledger, exitOf('e5', untilMs + 10_000, crashing), untilMs + 10_000);
+	const renewed = addSightings(ledger, exitOf('e5', untilMs + 10_000, crashing), untilMs + 10_000);
 	t.same(renewed.verdicts.map(({fingerprint}) => fingerprint), [crashing], 'one more exit is enough then');
 	t.ok(isRefused(ledger, crashing, untilMs + 20_000));
 	pruneLedger(ledger, untilMs + 10_000_000);
-	t.same([ledger.ends.length, ledger.verdicts.size, mayBeKnown(ledger, outlineIn(crashing))], [0, 0, false], 'no record of it is left');
+	t.same([ledger.ends.length, ledger.verdicts.size, mayHaveRecords(ledger, outlineIn(crashing))], [0, 0, false], 'no record of it is left');
 });
 
 t.test('a flood of other requests neither grows the ledger beyond its limit nor evicts a verdict', async t => {
 	const ledger = createCrashLedger();
-	takeSightings(ledger, [...exitOf('e1', 0, crashing), ...exitOf('e2', 100, crashing), ...exitOf('e3', 200, crashing)], 200);
+	addSightings(ledger, [...exitOf('e1', 0, crashing), ...exitOf('e2', 100, crashing), ...exitOf('e3', 200, crashing)], 200);
 	for (let index = 0; index < 1000; index++) {
-		takeSightings(ledger, exitOf(`f${index}`, 1000 + index, ...Array.from({length: 5}, (_, caller) => requestNamed(`flood-${index}-${caller}`))), 1000 + index);
+		addSightings(ledger, exitOf(`f${index}`, 1000 + index, ...Array.from({length: 5}, (_, caller) => requestNamed(`flood-${index}-${caller}`))), 1000 + index);
 	}
 
 	t.ok(isRefused(ledger, crashing, 3000));
@@ -202,7 +202,7 @@
 	fc.assert(fc.property(fc.shuffledSubarray(sightings, {minLength: sightings.length}), fc.array(fc.nat({max: sightings.length - 1}), {maxLength: 20}), (order, repeated) => {
 		const ledger = createCrashLedger();
 		for (const sighting of [...order, ...repeated.map(index => sightings[index]!)]) {
-			takeSightings(ledger, [sighting], 4000);
+			addSightings(ledger, [sighting], 4000);
 		}
 
 		return isRefused(ledger, crashing, 4000) && ledger.verdicts.size === 1 && ledger.ends.length === 5;
@@ -214,12 +214,12 @@
 	const broken = (atMs: number): CrashSighting => ({
 		fingerprint: crashing, address: 'e1', atMs, stage: 'waiting',
 	});
-	t.notOk(noteBroken(state, broken(0)));
-	t.same(confirmEnded(state, 'e2', 50), [], 'another endpoint exited');
-	t.same(confirmEnded(state, 'e1', 100), [broken(0)]);
-	t.same(confirmEnded(state, 'e1', 150), [], 'each attempt is returned only once');
-	t.ok(noteBroken(state, broken(200)), 'an attempt that breaks just after a confirmed exit is attributed to it');
-	t.same(confirmRestarted(state, 'e1', 3000), []);
-	t.notOk(noteBroken(state, broken(3100)), 'the next start has not exited');
-	t.same(confirmEnded(state, 'e1', 6000), [], 'an exit long after is unrelated');
+	t.notOk(recordBrokenAttempt(state, broken(0)));
+	t.same(confirmExit(state, 'e2', 50), [], 'another endpoint exited');
+	t.same(confirmExit(state, 'e1', 100), [broken(0)]);
+	t.same(confirmExit(state, 'e1', 150), [], 'each attempt is returned only once');
+	t.ok(recordBrokenAttempt(state, broken(200)), 'an attempt that breaks just after a confirmed exit is attributed to it');
+	t.same(confirmRestart(state, 'e1', 3000), []);
+	t.notOk(recordBrokenAttempt(state, broken(3100)), 'the next start has not exited');
+	t.same(confirmExit(state, 'e1', 6000), [], 'an exit long after is unrelated');
 });
--- a/packages/coordination/test/registry.test.ts
+++ b/packages/coordination/test/registry.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import t from 'tap';
 import {
-	announcedSince, createRegistry, hearAnnounced, withdraw, type AgedAnnouncement, type EndpointState,
+	announcementsSince, createRegistry, recordAnnouncement, withdraw, type AgedAnnouncement, type EndpointState,
 } from '@bitternpaddle/coordination';
 
 const announced = (fields: Partial<AgedAnnouncement> = {}): AgedAnnouncement => ({
@@ -14,9 +14,9 @@
 // before it started to drain arrives late.
 t.test('a late announcement does not undo a later one', async t => {
 	const registry = createRegistry();
-	hearAnnounced(registry, announced({sequence: 4}), 0);
-	hearAnnounced(registry, announced({sequence: 6, state: 'draining'}), 10);
-	t.notOk(hearAnnounced(registry, announced({sequence: 5}), 20));
+	recordAnnouncement(registry, announced({sequence: 4}), 0);
+	recordAnnouncement(registry, announced({sequence: 6, state: 'draining'}), 10);
+	t.notOk(recordAnnouncement(registry, announced({sequence: 5}), 20));
 	t.equal(stateOf(registry, 'e1'), 'draining');
 });
 
@@ -25,9 +25,9 @@
 // of them restores it.
 t.test('an endpoint that has left is not restored under its id', async t => {
 	const registry = createRegistry();
-	hearAnnounced(registry, announced({sequence: 4}), 0);
+	recordAnnouncement(registry, announced({sequence: 4}), 0);
 	t.ok(withdraw(registry, 'e1'));
-	t.notOk(hearAnnounced(registry, announced({sequence: 9}), 10, 'host'));
+	t.notOk(recordAnnouncement(registry, announced({sequence: 9}), 10, 'host'));
 	t.equal(stateOf(registry, 'e1'), 'gone');
 });
 
@@ -37,21 +37,21 @@
 // which of the two is running.
 t.test('a delayed announcement of an earlier start does not end the new one', async t => {
 	const registry = createRegistry();
-	hearAnnounced(registry, announced({id: 'new'}), 0);
-	hearAnnounced(registry, announced({id: 'old'}), 500);
+	recordAnnouncement(registry, announced({id: 'new'}), 0);
+	recordAnnouncement(registry, announced({id: 'old'}), 500);
 	t.equal(stateOf(registry, 'new'), 'ready');
 });
 
 t.test('readers receive changes at once, and unchanged announcements at intervals', async t => {
 	const registry = createRegistry();
-	hearAnnounced(registry, announced(), 0);
+	recordAnnouncement(registry, announced(), 0);
 	const {position} = registry;
-	hearAnnounced(registry, announced({sequence: 2}), 1200);
-	t.same(announcedSince(registry, position, 1200), [], 'nothing changed');
-	hearAnnounced(registry, announced({sequence: 3}), 2400);
-	t.match(announcedSince(registry, position, 2500), [{id: 'e1', ageMs: 100}]);
+	recordAnnouncement(registry, announced({sequence: 2}), 1200);
+	t.same(announcementsSince(registry, position, 1200), [], 'nothing changed');
+	recordAnnouncement(registry, announced({sequence: 3}), 2400);
+	t.match(announcementsSince(registry, position, 2500), [{id: 'e1', ageMs: 100}]);
 	t.equal(registry.urgentPosition, position, 'but readers are not woken for it');
-	hearAnnounced(registry, announced({sequence: 4, models: [{model: 'm', version: 2}]}), 2600);
+	recordAnnouncement(registry, announced({sequence: 4, models: [{model: 'm', version: 2}]}), 2600);
 	t.equal(registry.urgentPosition, registry.position, 'new weights are a change');
 });
 
@@ -61,16 +61,16 @@
 // left.
 t.test('an endpoint that restarts under its id is accepted at once', async t => {
 	const registry = createRegistry();
-	hearAnnounced(registry, announced({
+	recordAnnouncement(registry, announced({
 		startedAtMs: 100, sequence: 40, state: 'draining', models: [{model: 'm', version: 3}],
 	}), 0);
 	const {position} = registry;
-	t.ok(hearAnnounced(registry, announced({startedAtMs: 200, sequence: 1}), 10));
+	t.ok(recordAnnouncement(registry, announced({startedAtMs: 200, sequence: 1}), 10));
 	t.match(registry.entries.get('e1')!.announcement, {state: 'ready', sequence: 1, models: []}, 'nothing of the first start is kept');
 	t.equal(registry.urgentPosition, registry.position, 'readers are notified at once');
 	t.ok(registry.position > position);
 	withdraw(registry, 'e1');
-	t.ok(hearAnnounced(registry, announced({startedAtMs: 300, sequence: 1}), 20));
+	t.ok(recordAnnouncement(registry, announced({startedAtMs: 300, sequence: 1}), 20));
 	t.equal(stateOf(registry, 'e1'), 'ready', 'the departure of the previous start does not apply to this one');
 });
 
@@ -79,13 +79,13 @@
 // to the restarted endpoint for weights that it no longer holds, or not at all.
 t.test('late announcements of an earlier start change nothing, whoever sends them', async t => {
 	const registry = createRegistry();
-	hearAnnounced(registry, announced({startedAtMs: 200, sequence: 1}), 0);
-	t.notOk(hearAnnounced(registry, announced({startedAtMs: 100, sequence: 99, state: 'draining'}), 10));
-	t.notOk(hearAnnounced(registry, announced({startedAtMs: 100, sequence: 99, state: 'gone'}), 20, 'host'));
+	recordAnnouncement(registry, announced({startedAtMs: 200, sequence: 1}), 0);
+	t.notOk(recordAnnouncement(registry, announced({startedAtMs: 100, sequence: 99, state: 'draining'}), 10));
+	t.notOk(recordAnnouncement(registry, announced({startedAtMs: 100, sequence: 99, state: 'gone'}), 20, 'host'));
 	t.notOk(withdraw(registry, 'e1', 100), 'the first start has left');
 	t.equal(stateOf(registry, 'e1'), 'ready');
 	t.ok(withdraw(registry, 'e1', 200));
-	t.notOk(hearAnnounced(registry, announced({startedAtMs: 200, sequence: 5}), 30), 'within one start, leaving is final');
+	t.notOk(recordAnnouncement(registry, announced({startedAtMs: 200, sequence: 5}), 30), 'within one start, leaving is final');
 	t.equal(stateOf(registry, 'e1'), 'gone');
 });
 
@@ -104,7 +104,7 @@
 		const results = [inOrder, shuffled].map(order => {
 			const registry = createRegistry();
 			for (const fields of order) {
-				hearAnnounced(registry, announced(fields), 0);
+				recordAnnouncement(registry, announced(fields), 0);
 			}
 
 			return registry.entries.get('e1')!.announcement;
--- a/packages/coordination/test/router.test.ts
+++ b/packages/coordination/test/router.test.ts
@@ -3,7 +3,7 @@
 	createCatalog, type Catalog, type HostRecord,
 } from '@bitternpaddle/state';
 import {
-	changedHostIds, chooseEndpoint, createRandom, createRouter, hasRoom, inFlightOn, estimatedLoad, noteEnd, noteFirstByte, noteLoadReport, noteStart, setEntries,
+	changedHostIds, chooseEndpoint, createRandom, createRouter, hasSpareSlots, inFlightOn, estimatedLoad, recordEnd, recordFirstByte, recordLoadReport, recordStart, setEntries,
 	tickRouter, updateRouter, type ChooseOptions, type RequestOutcome, type RouterOptions, type RouterState,
 } from '@bitternpaddle/coordination';
 
@@ -56,7 +56,7 @@
 };
 
 const endRequest = (router: RouterState, hostId: string, outcome: RequestOutcome, nowMs: number): void => {
-	noteEnd(router, hostId, {outcome, hadFirstByte: false}, nowMs);
+	recordEnd(router, hostId, {outcome, hadFirstByte: false}, nowMs);
 };
 
 const answered: RequestOutcome = {type: 'answered', latencyMs: 50};
@@ -74,7 +74,7 @@
 		}
 
 		counts.set(hostId, (counts.get(hostId) ?? 0) + 1);
-		noteStart(router, hostId, nowMs);
+		recordStart(router, hostId, nowMs);
 		const outcome = outcomeOf(hostId);
 		if (outcome !== null) {
 			endRequest(router, hostId, outcome, nowMs + 1);
@@ -98,11 +98,11 @@
 	for (let index = 0; index < 12; index++) {
 		const hostId = choose(router, index)!;
 		t.ok(inFlightOn(router, hostId) < 4);
-		noteStart(router, hostId, index);
+		recordStart(router, hostId, index);
 	}
 
 	t.equal(chooseEndpoint(router, chooseOptions, 20).type, 'busy');
-	t.notOk(hasRoom(router, chooseOptions.target));
+	t.notOk(hasSpareSlots(router, chooseOptions.target));
 	endRequest(router, 'h1', answered, 21);
 	t.equal(choose(router, 22), 'h1');
 	t.equal(choose(router, 22, {tried: new Set(['h1'])}), null, 'a tried host is not chosen again');
@@ -112,7 +112,7 @@
 // as soon as its update is applied, while its running requests still count.
 t.test('an update applies only to the changed hosts', async t => {
 	const {catalog, router} = setUp(manyHosts(4));
-	noteStart(router, 'h0', 1);
+	recordStart(router, 'h0', 1);
 	catalog.hosts.h0 = {...catalog.hosts.h0!, status: 'draining'};
 	catalog.hosts.h1 = {...catalog.hosts.h1!, readyVersionId: 'm:v2'};
 	updateRouter(router, catalog, changedHostIds([{type: 'replicasChanged', readiness: [{hostId: 'h1', incarnation: 1, versionId: 'm:v2'}] as never}]), 2);
@@ -138,7 +138,7 @@
 	for (let index = 0; index < 20; index++) {
 		const hostId = choose(router, index)!;
 		starts.push(hostId);
-		noteStart(router, hostId, index);
+		recordStart(router, hostId, index);
 	}
 
 	t.ok(starts.slice(0, 13).every(id => id.startsWith('h')), 'local below the spill threshold');
@@ -162,8 +162,8 @@
 	const {router} = setUp(manyHosts(8, () => ({capacity: 100})));
 	for (const hostId of [...router.hosts.keys()].filter(id => id !== 'h3')) {
 		for (let index = 0; index < 50; index++) {
-			noteStart(router, hostId, 0);
-			noteFirstByte(router, hostId, 0);
+			recordStart(router, hostId, 0);
+			recordFirstByte(router, hostId, 0);
 		}
 	}
 
@@ -179,9 +179,9 @@
 	for (let index = 0; index < 1000; index++) {
 		notices.push(...tickRouter(router, index * 10).map(notice => notice.type === 'ejected' ? `${notice.hostId} ${notice.reason}` : notice.type));
 		const hostId = choose(router, index * 10)!;
-		noteStart(router, hostId, index * 10);
-		noteFirstByte(router, hostId, (index * 10) + 1);
-		noteEnd(router, hostId, {outcome: {type: 'answered', latencyMs: hostId === 'h3' ? 4000 : 100}, hadFirstByte: true}, (index * 10) + 1);
+		recordStart(router, hostId, index * 10);
+		recordFirstByte(router, hostId, (index * 10) + 1);
+		recordEnd(router, hostId, {outcome: {type: 'answered', latencyMs: hostId === 'h3' ? 4000 : 100}, hadFirstByte: true}, (index * 10) + 1);
 	}
 
 	t.ok(notices.includes('h3 latency'), notices.join(', '));
@@ -211,8 +211,8 @@
 	const {router} = setUp(manyHosts(90, index => ({zone: `z${index % 3}`, capacity: 16})), {zoneId: 'entry-zone', minimumPerTier: 90});
 	for (let round = 0; round < 8; round++) {
 		for (const hostId of router.hosts.keys()) {
-			noteStart(router, hostId, round);
-			noteFirstByte(router, hostId, round);
+			recordStart(router, hostId, round);
+			recordFirstByte(router, hostId, round);
 		}
 	}
 
@@ -236,7 +236,7 @@
 		}
 
 		const hostId = choose(router, nowMs)!;
-		noteStart(router, hostId, nowMs);
+		recordStart(router, hostId, nowMs);
 		endRequest(router, hostId, hostId === 'h2' ? failed : answered, nowMs + 1);
 	}
 
@@ -247,16 +247,16 @@
 // requests since. If it were used unchanged, the host would be overloaded until the next report.
 t.test('old reports are corrected by later requests, and decay', async t => {
 	const {router} = setUp(manyHosts(2, () => ({capacity: 16})));
-	noteStart(router, 'h0', 0);
+	recordStart(router, 'h0', 0);
 	for (let index = 0; index < 4; index++) {
-		noteStart(router, 'h0', 1000 + index);
+		recordStart(router, 'h0', 1000 + index);
 	}
 
-	noteLoadReport(router, 'h0', {running: 3, ageMs: 600}, 1500);
+	recordLoadReport(router, 'h0', {running: 3, ageMs: 600}, 1500);
 	t.equal(estimatedLoad(router, 'h0', 1500), 7, 'five requests of this entry and two of others: three were running, one of them from this entry');
-	noteLoadReport(router, 'h0', {running: 16, ageMs: 900}, 1510);
+	recordLoadReport(router, 'h0', {running: 16, ageMs: 900}, 1510);
 	t.equal(estimatedLoad(router, 'h0', 1510), 7, 'a delayed older report changes nothing');
-	noteLoadReport(router, 'h1', {running: 16, ageMs: 0}, 1600);
+	recordLoadReport(router, 'h1', {running: 16, ageMs: 0}, 1600);
 	t.equal(choose(router, 1600), 'h0', 'h1 is full');
 	tickRouter(router, 9000);
 	t.ok(estimatedLoad(router, 'h1', 9000) <= 2);
@@ -269,14 +269,14 @@
 t.test('an answer frees its slot regardless of an old report', async t => {
 	const {router} = setUp(manyHosts(1));
 	for (let index = 0; index < 4; index++) {
-		noteStart(router, 'h0', 300);
+		recordStart(router, 'h0', 300);
 	}
 
-	noteLoadReport(router, 'h0', {running: 4, ageMs: 200}, 400);
+	recordLoadReport(router, 'h0', {running: 4, ageMs: 200}, 400);
 	t.equal(chooseEndpoint(router, chooseOptions, 450).type, 'busy');
 	endRequest(router, 'h0', answered, 500);
 	t.equal(choose(router, 500), 'h0');
-	noteStart(router, 'h0', 500);
+	recordStart(router, 'h0', 500);
 	t.equal(chooseEndpoint(router, chooseOptions, 501).type, 'busy', 'exactly one slot is free');
 });
 
@@ -298,18 +298,18 @@
 t.test('a new replica ramps up slowly', async t => {
 	const {catalog, router} = setUp(manyHosts(8, () => ({capacity: 16})));
 	for (let index = 0; index < 40; index++) {
-		noteStart(router, choose(router, index)!, index);
+		recordStart(router, choose(router, index)!, index);
 	}
 
 	catalog.hosts.fresh = hostRecord('fresh', {capacity: 16});
 	updateRouter(router, catalog, null, 1000);
 	for (let index = 0; index < 60; index++) {
-		noteStart(router, choose(router, 1001 + index)!, 1001 + index);
+		recordStart(router, choose(router, 1001 + index)!, 1001 + index);
 	}
 
 	t.ok(inFlightOn(router, 'fresh') <= 2, `${inFlightOn(router, 'fresh')} of 60`);
 	for (let index = 0; index < 30; index++) {
-		noteStart(router, choose(router, 40_000 + index)!, 40_000 + index);
+		recordStart(router, choose(router, 40_000 + index)!, 40_000 + index);
 	}
 
 	t.ok(inFlightOn(router, 'fresh') >= 4, `${inFlightOn(router, 'fresh')} once it is warm`);
@@ -329,7 +329,7 @@
 	for (let index = 0; index < 40; index++) {
 		const hostId = choose(router, 100, {prefixKey: 'menu'})!;
 		counts.set(hostId, (counts.get(hostId) ?? 0) + 1);
-		noteStart(router, hostId, 100);
+		recordStart(router, hostId, 100);
 	}
 
 	t.ok(counts.get(owner)! >= 4 && counts.get(owner)! <= 6, `${counts.get(owner)} of 40 on the owner, of 8 at most`);
--- a/packages/coordination/test/share-world.ts
+++ b/packages/coordination/test/share-world.ts
@@ -1,5 +1,5 @@
 import {
-	answerShareRequest, createEntryShares, createRandom, setTeamRates, shareOf, takeEntries, takeShareAnswer, tickShares, type EntryShares, type Random, type ShareRequest, type TeamUsage,
+	answerShareRequest, createEntryShares, createRandom, setTeamRates, shareOf, updateEntries, applyShareAnswer, tickShares, type EntryShares, type Random, type ShareRequest, type TeamUsage,
 } from '@bitternpaddle/coordination';
 
 /** Fleet-wide rate of the only team, in tokens per second. */
@@ -49,7 +49,7 @@
 
 	const sendEntryList = (entry: Entry): void => {
 		if (!entry.isCutOff) {
-			takeEntries(entry.shares, [...lastSeenAtMs].filter(([, atMs]) => nowMs - atMs <= 3000).map(([id]) => id), {askedAtMs: nowMs, nowMs});
+			updateEntries(entry.shares, [...lastSeenAtMs].filter(([, atMs]) => nowMs - atMs <= 3000).map(([id]) => id), {askedAtMs: nowMs, nowMs});
 		}
 	};
 
@@ -71,7 +71,7 @@
 
 			send(() => {
 				if (entries.get(entry.id) === entry && !droppedLinks.has(`${to}>${entry.id}`)) {
-					takeShareAnswer(entry.shares, to, answer, {sentAtMs, nowMs});
+					applyShareAnswer(entry.shares, to, answer, {sentAtMs, nowMs});
 				}
 			});
 		});
--- a/packages/coordination/test/swarm.test.ts
+++ b/packages/coordination/test/swarm.test.ts
@@ -1,6 +1,6 @@
 import t from 'tap';
 import {
-	admitUpload, createRandom, createSwarm, createUploads, finishUpload, isRestInReach, stepSwarm, type SwarmEffect, type SwarmOptions, type SwarmPeer, type SwarmState,
+	admitUpload, createRandom, createSwarm, createUploads, finishUpload, isRemainderAvailable, stepSwarm, type SwarmEffect, type SwarmOptions, type SwarmPeer, type SwarmState,
 } from '@bitternpaddle/coordination';
 
 const peer = (hostId: string, zoneId = 'z1'): SwarmPeer => ({hostId, zoneId, regionId: 'r1'});
@@ -260,7 +260,7 @@
 	const hostIds = ['a', 'b', 'c', 'd'];
 	const suspendedHostChunks = create('a', hostIds).state.tickets.ownChunks;
 	const fetched = hostIds.slice(1).flatMap(hostId => {
-		const {state} = create(hostId, hostIds, {redrawMs: 1500, greetingWaitMs: 80, maxOriginFetches: 8});
+		const {state} = create(hostId, hostIds, {refetchMs: 1500, greetingWaitMs: 80, maxOriginFetches: 8});
 		for (let chunk = 0; chunk < 8; chunk++) {
 			if (!suspendedHostChunks.includes(chunk)) {
 				stepSwarm(state, {
@@ -283,7 +283,7 @@
 	const hostIds = ['a', 'b', 'c', 'd'];
 	const originLostUntilMs = 6000;
 	const fetched = hostIds.flatMap(hostId => {
-		const {state} = create(hostId, hostIds, {redrawMs: 1500, greetingWaitMs: 80});
+		const {state} = create(hostId, hostIds, {refetchMs: 1500, greetingWaitMs: 80});
 		const sent: number[] = [];
 		for (let nowMs = 100; nowMs < originLostUntilMs + 1400; nowMs += 100) {
 			const requested = fetchesIn(stepSwarm(state, {type: 'tick'}, nowMs));
@@ -333,7 +333,7 @@
 	const peers = ['a', 'b', 'c', 'd', 'e', 'f'].map(hostId => ({hostId, zoneId: hostId < 'd' ? 'near' : 'far', regionId: 'r'}));
 	const createIn = (hostId: string, least: number): SwarmState => createSwarm({
 		self: peers.find(candidate => candidate.hostId === hostId)!, manifestId: 'm', totalChunks: 24, held: [], peers, random: createRandom(3), nowMs: 0,
-		nearDrawers: {zoneId: 'near', least},
+		nearOriginFetchers: {zoneId: 'near', minHosts: least},
 	}).state;
 	const owned = (least: number): number[] => peers.map(({hostId}) => createIn(hostId, least).tickets.ownChunks.length);
 	t.same(owned(3).slice(3), [0, 0, 0], 'nothing is fetched from another zone');
@@ -380,11 +380,11 @@
 	stepSwarm(state, {
 		type: 'peerHas', hostId: 'b', chunks: [0, 1], isGreeting: true,
 	}, 100);
-	t.ok(isRestInReach(state, 400), 'a chunk that no host had was announced recently');
+	t.ok(isRemainderAvailable(state, 400), 'a chunk that no host had was announced recently');
 	stepSwarm(state, {type: 'stored', chunk: 0, source: {type: 'peer', hostId: 'b'}}, 900);
-	t.notOk(isRestInReach(state, 1000), 'exchanges among hosts say nothing about the third chunk');
+	t.notOk(isRemainderAvailable(state, 1000), 'exchanges among hosts say nothing about the third chunk');
 	stepSwarm(state, {
 		type: 'peerHas', hostId: 'b', chunks: [2], isGreeting: false,
 	}, 1100);
-	t.ok(isRestInReach(state, 5000), 'each chunk is held by some host');
+	t.ok(isRemainderAvailable(state, 5000), 'each chunk is held by some host');
 });
--- a/packages/daemon/src/agent/adapter-transfers.ts
+++ b/packages/daemon/src/agent/adapter-transfers.ts
@@ -1,7 +1,7 @@
 import {
-	adapterIdSchema, adapterKeyOf, adapterOrderOf, manifestIdSchema, versionIdSchema, type AdapterRecord, type Catalog, type ManifestId,
+	adapterIdSchema, adapterKeyOf, requiredAdaptersOf, manifestIdSchema, versionIdSchema, type AdapterRecord, type Catalog, type ManifestId,
 } from '@bitternpaddle/state';
-import type {HaveParameters, TransferStatus} from '@bitternpaddle/protocol';
+import type {ChunkAnnouncement, TransferStatus} from '@bitternpaddle/protocol';
 import {createFetchedChunks, type FetchedChunks, type FetchOptions} from './fetched-chunks.js';
 import type {TransferPeer} from './transfer.js';
 
@@ -21,7 +21,7 @@
 	applyCatalog(catalog: Catalog, wanted: readonly AdapterRecord[], retained: readonly AdapterRecord[]): void;
 	verified(manifestId: string): VerifiedAdapter | null;
 	updateState(manifestId: string, isReady: boolean, failure: string): void;
-	handleAnnouncement(parameters: HaveParameters): void;
+	handleAnnouncement(parameters: ChunkAnnouncement): void;
 	readChunk(manifestId: string, chunk: number): Promise<Uint8Array | null>;
 	statuses(): TransferStatus[];
 	close(): Promise<void>;
@@ -219,4 +219,4 @@
 		.filter((adapter): adapter is AdapterRecord => adapter?.versionId === versionId);
 };
 
-export const wantedAdaptersOf = (catalog: Catalog, hostId: string): readonly AdapterRecord[] => adapterOrderOf(catalog, hostId)?.adapters ?? [];
+export const wantedAdaptersOf = (catalog: Catalog, hostId: string): readonly AdapterRecord[] => requiredAdaptersOf(catalog, hostId)?.adapters ?? [];
--- a/packages/daemon/src/agent/adapters.ts
+++ b/packages/daemon/src/agent/adapters.ts
@@ -1,6 +1,6 @@
-import type {HaveParameters, TransferStatus} from '@bitternpaddle/protocol';
+import type {ChunkAnnouncement, TransferStatus} from '@bitternpaddle/protocol';
 import {
-	adapterIdSchema, adapterOrderOf, formatAdapterTag, modelOfVersion, type AdapterId, type AdapterRecord, type Catalog,
+	adapterIdSchema, requiredAdaptersOf, formatAdapterTag, modelOfVersion, type AdapterId, type AdapterRecord, type Catalog,
 } from '@bitternpaddle/state';
 import {
 	createAdapterTransfers, fleetAdaptersOf, wantedAdaptersOf, type AdapterTransfersOptions,
@@ -35,7 +35,7 @@
 	/** Runs an order that loads a base and leaves no adapter of another base loaded. Call it only within `runWithoutOrders`. */
 	runBaseOrder(order: () => Promise<void>): Promise<void>;
 	applyCatalog(catalog: Catalog): void;
-	handleAnnouncement(parameters: HaveParameters): void;
+	handleAnnouncement(parameters: ChunkAnnouncement): void;
 	readChunk(manifestId: string, chunk: number): Promise<Uint8Array | null>;
 	statuses(): TransferStatus[];
 	close(): Promise<void>;
@@ -69,9 +69,9 @@
 		: fleetAdaptersOf(catalog, hostId, base.versionId).map(record => [nameOf(record), record]));
 
 	/** A host without an assignment has no fencing number for orders; its engine serves no requests. */
-	const canSendOrders = (): boolean => catalog !== null && adapterOrderOf(catalog, hostId) !== null;
+	const canSendOrders = (): boolean => catalog !== null && requiredAdaptersOf(catalog, hostId) !== null;
 
-	const fencingNumber = (): number => (catalog === null ? null : adapterOrderOf(catalog, hostId))?.fencingNumber ?? 0;
+	const fencingNumber = (): number => (catalog === null ? null : requiredAdaptersOf(catalog, hostId))?.fencingNumber ?? 0;
 
 	const setConfirmedAdapters = (next: readonly ConfirmedAdapter[]): void => {
 		const before = confirmedAdapters.map(({tag}) => tag).join(' ');
