--- a/packages/daemon/src/agent/announcer.ts
+++ b/packages/daemon/src/agent/announcer.ts
@@ -1,5 +1,5 @@
-import {hearLimits, remainingLimits} from '@bitternpaddle/coordination';
-import type {HaveParameters} from '@bitternpaddle/protocol';
+import {recordReceivedLimits, remainingLimits} from '@bitternpaddle/coordination';
+import type {ChunkAnnouncement} from '@bitternpaddle/protocol';
 import type {ManifestId} from '@bitternpaddle/state';
 import {notifyRpc} from '@bitternpaddle/transport';
 import type {TransferLinks} from './transfer-links.js';
@@ -27,11 +27,11 @@
 
 	const flush = (): void => {
 		timer = null;
-		const limitsMs = remainingLimits(links.rests, performance.now());
+		const limitsMs = remainingLimits(links.backoffs, performance.now());
 		for (const [hostId, {chunks, isGreeting}] of pending) {
 			const address = addressOf(hostId);
 			if (address !== undefined) {
-				const parameters: HaveParameters = {
+				const parameters: ChunkAnnouncement = {
 					from: selfId, address: selfAddress(), manifestId, chunks, isGreeting, limitsMs,
 				};
 				notifyRpc({
@@ -59,6 +59,6 @@
 	};
 };
 
-export const recordAnnouncedLimits = (links: TransferLinks, {limitsMs}: HaveParameters): void => {
-	hearLimits(links.rests, limitsMs, performance.now());
+export const recordAnnouncedLimits = (links: TransferLinks, {limitsMs}: ChunkAnnouncement): void => {
+	recordReceivedLimits(links.backoffs, limitsMs, performance.now());
 };
--- a/packages/daemon/src/agent/create-agent-node.ts
+++ b/packages/daemon/src/agent/create-agent-node.ts
@@ -1,8 +1,8 @@
 import type http from 'node:http';
 import {setTimeout as delay} from 'node:timers/promises';
-import {createDoor, type DoorState, type RunLimits} from '@bitternpaddle/coordination';
+import {createRequestGate, type RequestGate, type RunLimits} from '@bitternpaddle/coordination';
 import {
-	haveParametersSchema, loadParametersSchema, settleParametersSchema, type HostReport, type LoadResult,
+	chunkAnnouncementSchema, loadParametersSchema, resolveAttemptParametersSchema, type HostReport, type LoadResult,
 } from '@bitternpaddle/protocol';
 import {
 	announcementSchema, versionIdSchema, type Announcement,
@@ -86,7 +86,7 @@
 	} = options;
 	await claimDataFolder(folder, {role: 'agent', hostId});
 	const incarnation = Date.now();
-	const gate: DoorState = createDoor({capacity, incarnation});
+	const gate: RequestGate = createRequestGate({capacity, incarnation});
 	const links = createTransferLinks({
 		inBytesPerSecond: transferLimits.inBytesPerSecond ?? null, outBytesPerSecond: transferLimits.outBytesPerSecond ?? null,
 		hasStore: storeAddress !== undefined, gateLoad: () => ({running: gate.running, capacity: gate.capacity}),
@@ -203,9 +203,9 @@
 
 	const sendChunk = createUploadServer({links, readChunk: async (manifestId, chunk) => await weights.readChunk(manifestId, chunk) ?? adapters.readChunk(manifestId, chunk)});
 
-	rpc.method('agent.settle', settleParametersSchema, parameters => gateServer.resolveAttempt(parameters));
+	rpc.method('agent.settle', resolveAttemptParametersSchema, parameters => gateServer.resolveAttempt(parameters));
 	rpc.method('agent.load', loadParametersSchema, (): LoadResult => ({running: gate.running}));
-	rpc.method('agent.have', haveParametersSchema, parameters => {
+	rpc.method('agent.have', chunkAnnouncementSchema, parameters => {
 		weights.handleAnnouncement(parameters);
 		adapters.handleAnnouncement(parameters);
 	});
--- a/packages/daemon/src/agent/fetch-chunk.ts
+++ b/packages/daemon/src/agent/fetch-chunk.ts
@@ -1,6 +1,6 @@
 import type http from 'node:http';
 import {
-	chooseSource, noteLimited, noteReached, noteUnreachable, type ChunkSource, type FailureReason, type WeightSource,
+	chooseSource, recordRateLimit, recordReached, recordUnreachable, type ChunkSource, type FailureReason, type WeightSource,
 } from '@bitternpaddle/coordination';
 import {hostHeader} from '@bitternpaddle/protocol';
 import {chunkRange, type Manifest, type ManifestId} from '@bitternpaddle/state';
@@ -77,7 +77,7 @@
 
 		data.set(part, offset);
 		offset += part.length;
-		await links.takeIn(part.length, signal);
+		await links.throttleIncoming(part.length, signal);
 	}
 
 	return data.subarray(0, offset);
@@ -85,12 +85,12 @@
 
 /** Fetches from the origin, or immediately from the store if the origin fails. */
 const fetchFromSources = async (options: FetchChunkOptions): Promise<FetchOutcome> => {
-	const {links: {rests}, sources} = options;
+	const {links: {backoffs: rests}, sources} = options;
 	let outcome: FetchOutcome = {type: 'failed', reason: 'busy', detail: 'the origin and the store are in backoff'};
 	for (let choice = chooseSource(rests, performance.now()); choice.type === 'ask'; choice = chooseSource(rests, performance.now())) {
 		outcome = await fetchRange(options, sources[choice.source]!);
 		if (outcome.type === 'data') {
-			noteReached(rests, choice.source);
+			recordReached(rests, choice.source);
 			return outcome;
 		}
 
@@ -99,9 +99,9 @@
 		}
 
 		if (outcome.retryAfterMs === undefined) {
-			noteUnreachable(rests, choice.source, performance.now());
+			recordUnreachable(rests, choice.source, performance.now());
 		} else {
-			noteLimited(rests, choice.source, outcome.retryAfterMs, performance.now());
+			recordRateLimit(rests, choice.source, outcome.retryAfterMs, performance.now());
 		}
 	}
 
--- a/packages/daemon/src/agent/fetched-chunks.ts
+++ b/packages/daemon/src/agent/fetched-chunks.ts
@@ -1,4 +1,4 @@
-import type {HaveParameters, TransferStatus} from '@bitternpaddle/protocol';
+import type {ChunkAnnouncement, TransferStatus} from '@bitternpaddle/protocol';
 import {
 	openChunkStore, type ChunkStore, type Manifest, type ManifestId,
 } from '@bitternpaddle/state';
@@ -57,7 +57,7 @@
 	scheduleRemoval(keepMs: number, remove: () => void): void;
 	cancelRemoval(): void;
 	remove(): void;
-	handleAnnouncement(parameters: HaveParameters): void;
+	handleAnnouncement(parameters: ChunkAnnouncement): void;
 	readChunk(chunk: number): Promise<Uint8Array | null>;
 	progress(): FetchedProgress;
 	close(): Promise<void>;
@@ -128,7 +128,7 @@
 			return store.isComplete();
 		},
 		async verify() {
-			isVerified ||= await store!.verifyWhole();
+			isVerified ||= await store!.verifyComplete();
 			if (!isVerified) {
 				// The chunks were verified when they were stored, so the file has since been corrupted on disk.
 				closeTransfer();
@@ -160,7 +160,7 @@
 			});
 		},
 		handleAnnouncement(parameters) {
-			transfer?.hear(parameters);
+			transfer?.receiveAnnouncement(parameters);
 		},
 		async readChunk(chunk) {
 			return store?.has(chunk) ? store.read(chunk) : null;
--- a/packages/daemon/src/agent/request-gate-server.ts
+++ b/packages/daemon/src/agent/request-gate-server.ts
@@ -1,11 +1,11 @@
 import type {Buffer} from 'node:buffer';
 import type http from 'node:http';
 import {
-	admitAtDoor, finishAtDoor, settleAtDoor, type DoorRefusal, type DoorRequest, type DoorState, type RunLimits,
+	admitAtGate, finishAtGate, resolveAtGate, type GateRefusal, type GateRequest, type RequestGate, type RunLimits,
 } from '@bitternpaddle/coordination';
 import {
 	adapterHeader, attemptHeader, deadlineHeader, fullRefusal, idempotencyKeyHeader, incarnationHeader, issueHeader, onceHeader, parseIssue, refusalHeader, requestIdHeader, versionHeader,
-	type SettleResult,
+	type AttemptResolution,
 } from '@bitternpaddle/protocol';
 import {mayHaveRun, notRun, type UnansweredVerdict} from '@bitternpaddle/state';
 import {readBody} from '@bitternpaddle/transport';
@@ -25,7 +25,7 @@
 
 export type GateServerOptions = {
 	readonly hostId: string;
-	readonly gate: DoorState;
+	readonly gate: RequestGate;
 	readonly configuration: ConfigurationClient;
 	readonly endpointAddress: string;
 	readonly kind: 'engine' | 'plain';
@@ -48,7 +48,7 @@
 	handle(request: http.IncomingMessage, response: http.ServerResponse): Promise<void>;
 	/** Handles `/answers/...`. */
 	resume(request: http.IncomingMessage, response: http.ServerResponse): Promise<void>;
-	resolveAttempt(request: DoorRequest & {readonly isCancel: boolean}): SettleResult;
+	resolveAttempt(request: GateRequest & {readonly isCancel: boolean}): AttemptResolution;
 	close(): void;
 };
 
@@ -85,7 +85,7 @@
 
 	/** The reason to refuse the request, or `null`. */
 	const refusalReason = async (request: http.IncomingMessage): Promise<string | null> => {
-		const staleReason = await peers.meet(request.headers, catchUpTimeoutMs);
+		const staleReason = await peers.checkRequestHeaders(request.headers, catchUpTimeoutMs);
 		if (staleReason !== null) {
 			return staleReason;
 		}
@@ -112,7 +112,7 @@
 		runs.add(run);
 		const finish = (): void => {
 			adapterReference?.release();
-			finishAtDoor(gate, attemptId, run.failure?.type === 'notRun' ? 'notRun' : 'ran');
+			finishAtGate(gate, attemptId, run.failure?.type === 'notRun' ? 'notRun' : 'ran');
 			onIdle();
 		};
 
@@ -149,7 +149,7 @@
 				return;
 			}
 
-			const admission = admitAtDoor(gate, gateRequest);
+			const admission = admitAtGate(gate, gateRequest);
 			if (admission.type === 'refuse') {
 				adapterReference?.release();
 				if (admission.reason === 'full') {
@@ -179,7 +179,7 @@
 			});
 		},
 		resolveAttempt({isCancel, ...gateRequest}) {
-			const type = settleAtDoor(gate, gateRequest);
+			const type = resolveAtGate(gate, gateRequest);
 			const run = runs.get(gateRequest.attemptId);
 			if (isCancel && type === 'running' && run?.isRepeatable) {
 				runs.terminate(run, 'cancelled');
@@ -196,7 +196,7 @@
 /** A request that has passed all checks and is about to start. */
 type CheckedRequest = {readonly attemptId: string; readonly requestId: string; readonly body: Buffer; readonly adapterReference: AdapterReference | null};
 
-const parseGateRequest = ({headers}: http.IncomingMessage): DoorRequest | null => {
+const parseGateRequest = ({headers}: http.IncomingMessage): GateRequest | null => {
 	const issue = parseIssue(String(headers[issueHeader] ?? ''));
 	const incarnation = Number(headers[incarnationHeader]);
 	const attempt = headers[attemptHeader];
@@ -204,7 +204,7 @@
 };
 
 /** A duplicate may have run; an attempt that was refused has not. */
-const verdictOfRefusal = (reason: DoorRefusal): UnansweredVerdict => match(reason)
+const verdictOfRefusal = (reason: GateRefusal): UnansweredVerdict => match(reason)
 	.with('duplicate', () => mayHaveRun('this attempt has already arrived at the host'))
 	.with('forgotten', () => mayHaveRun('this attempt is older than the attempts that the host remembers'))
 	.with('barred', () => notRun('this attempt was resolved as not run before it arrived'))
--- a/packages/daemon/src/agent/run-on-endpoint.ts
+++ b/packages/daemon/src/agent/run-on-endpoint.ts
@@ -1,6 +1,6 @@
 import type {Buffer} from 'node:buffer';
 import type http from 'node:http';
-import {endedUnder, mayHaveRun, notRun} from '@bitternpaddle/state';
+import {endpointExited, mayHaveRun, notRun} from '@bitternpaddle/state';
 import {isRefusingConnections, sendHttp, TransportError} from '@bitternpaddle/transport';
 import type {EndpointRun} from './endpoint-run.js';
 
@@ -114,7 +114,7 @@
 			if (wasNotSent) {
 				run.fail(notRun('the endpoint refused the connection'), performance.now());
 			} else if (!run.abort.signal.aborted && await isRefusingConnections(endpointAddress)) {
-				run.fail(endedUnder(reason), performance.now());
+				run.fail(endpointExited(reason), performance.now());
 			} else {
 				run.fail(mayHaveRun(reason), performance.now());
 			}
--- a/packages/daemon/src/agent/run-registry.ts
+++ b/packages/daemon/src/agent/run-registry.ts
@@ -1,4 +1,4 @@
-import {causeToEnd, type EndCause, type RunLimits} from '@bitternpaddle/coordination';
+import {terminationCause, type TerminationCause, type RunLimits} from '@bitternpaddle/coordination';
 import type {EndpointRun} from './endpoint-run.js';
 
 export type RunRegistryOptions = {
@@ -18,7 +18,7 @@
 export type RunRegistry = {
 	get(attemptId: string): EndpointRun | undefined;
 	add(run: EndpointRun): void;
-	terminate(run: EndpointRun, cause: EndCause | 'cancelled'): void;
+	terminate(run: EndpointRun, cause: TerminationCause | 'cancelled'): void;
 	close(): void;
 };
 
@@ -26,7 +26,7 @@
 	const {tickMs, limits, retentionMs = 15_000, nonRepeatableRetentionMs = 120_000, maxRetainedBytes = 8 * 1024 * 1024, onTick} = options;
 	const runs = new Map<string, EndpointRun>();
 
-	const terminate = (run: EndpointRun, cause: EndCause | 'cancelled'): void => {
+	const terminate = (run: EndpointRun, cause: TerminationCause | 'cancelled'): void => {
 		run.abort.abort(new Error(cause));
 	};
 
@@ -45,7 +45,7 @@
 	const timer = setInterval(() => {
 		const nowMs = performance.now();
 		for (const run of runs.values()) {
-			const cause = run.endedAtMs === null ? causeToEnd(run, limits, nowMs) : null;
+			const cause = run.endedAtMs === null ? terminationCause(run, limits, nowMs) : null;
 			if (cause !== null) {
 				terminate(run, cause);
 			}
--- a/packages/daemon/src/agent/send-answer.ts
+++ b/packages/daemon/src/agent/send-answer.ts
@@ -1,6 +1,6 @@
 import type http from 'node:http';
 import {
-	adapterHeader, endedRefusal, endMarkerTrailer, hostHeader, loadHeader, refusalHeader, requestIdHeader, verdictHeader, versionHeader,
+	adapterHeader, endpointExitRefusal, endMarkerTrailer, hostHeader, loadHeader, refusalHeader, requestIdHeader, verdictHeader, versionHeader,
 } from '@bitternpaddle/protocol';
 import type {UnansweredVerdict} from '@bitternpaddle/state';
 import {match} from 'ts-pattern';
@@ -25,7 +25,7 @@
 
 /** Reports that the endpoint exited; also sent with a partial answer, so that the entry knows why the remainder will not arrive. */
 const endpointExitHeader = (failure: UnansweredVerdict | null): Record<string, string> => failure?.type === 'mayHaveRun' && failure.hasEndpointEnded === true
-	? {[refusalHeader]: endedRefusal}
+	? {[refusalHeader]: endpointExitRefusal}
 	: {};
 
 const minSendBytes = 32_768;
--- a/packages/daemon/src/agent/transfer-links.ts
+++ b/packages/daemon/src/agent/transfer-links.ts
@@ -1,7 +1,7 @@
 import {monitorEventLoopDelay} from 'node:perf_hooks';
 import {setTimeout as delay} from 'node:timers/promises';
 import {
-	adjustBudget, createLinkBudget, createSourceRests, createUploads, takeFromBudget, type SourceRests, type Uploads,
+	adjustBudget, createLinkBudget, createSourceBackoffs, createUploads, takeFromBudget, type SourceBackoffs, type Uploads,
 } from '@bitternpaddle/coordination';
 
 export type TransferLinksOptions = {
@@ -16,10 +16,10 @@
 /** Resources shared by all transfers of this host: its link in both directions, its upload slots and the backoffs of the sources. */
 export type TransferLinks = {
 	readonly uploads: Uploads;
-	readonly rests: SourceRests;
+	readonly backoffs: SourceBackoffs;
 	/** Resolves once the budget allows `sizeBytes` to be received. */
-	takeIn(sizeBytes: number, signal?: AbortSignal): Promise<void>;
-	takeOut(sizeBytes: number, signal?: AbortSignal): Promise<void>;
+	throttleIncoming(sizeBytes: number, signal?: AbortSignal): Promise<void>;
+	throttleOutgoing(sizeBytes: number, signal?: AbortSignal): Promise<void>;
 	/** Share of the budget that live requests leave to transfers. */
 	share(): number;
 	close(): void;
@@ -51,9 +51,9 @@
 
 	return {
 		uploads: createUploads(),
-		rests: createSourceRests(hasStore),
-		takeIn: async (sizeBytes, signal) => throttle(incoming, sizeBytes, signal),
-		takeOut: async (sizeBytes, signal) => throttle(outgoing, sizeBytes, signal),
+		backoffs: createSourceBackoffs(hasStore),
+		throttleIncoming: async (sizeBytes, signal) => throttle(incoming, sizeBytes, signal),
+		throttleOutgoing: async (sizeBytes, signal) => throttle(outgoing, sizeBytes, signal),
 		share: () => Math.min(incoming.share, outgoing.share),
 		close() {
 			clearInterval(timer);
--- a/packages/daemon/src/agent/transfer.ts
+++ b/packages/daemon/src/agent/transfer.ts
@@ -1,8 +1,8 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {
-	createRandom, createSwarm, isRestInReach, stepSwarm, type ChunkSource, type SwarmEffect, type SwarmEvent, type SwarmOptions, type SwarmPeer, type SwarmState,
+	createRandom, createSwarm, isRemainderAvailable, stepSwarm, type ChunkSource, type SwarmEffect, type SwarmEvent, type SwarmOptions, type SwarmPeer, type SwarmState,
 } from '@bitternpaddle/coordination';
-import type {HaveParameters} from '@bitternpaddle/protocol';
+import type {ChunkAnnouncement} from '@bitternpaddle/protocol';
 import type {ChunkStore} from '@bitternpaddle/state';
 import type {Logger} from '@bitternpaddle/transport';
 import {match} from 'ts-pattern';
@@ -29,9 +29,9 @@
 	/** Called after each successful fetch. */
 	onFetched?(source: ChunkSource, tookMs: number): void;
 	/** How long this host should pause fetching; 0 if it may fetch. @default 0 */
-	restMs?(): number;
+	fetchPauseMs?(): number;
 	/** Limits of the exchange. @default the defaults of the swarm */
-	readonly swarm?: Pick<SwarmOptions, 'takeoverMs' | 'maxFetches' | 'maxFetchesPerPeer' | 'maxOriginFetches' | 'importWaitMs' | 'greetingWaitMs' | 'redrawMs' | 'nearDrawers'>;
+	readonly swarm?: Pick<SwarmOptions, 'takeoverMs' | 'maxFetches' | 'maxFetchesPerPeer' | 'maxOriginFetches' | 'importWaitMs' | 'greetingWaitMs' | 'refetchMs' | 'nearOriginFetchers'>;
 	/** How often the exchange gets a clock tick. @default 100 */
 	readonly tickMs?: number;
 	onComplete(): void;
@@ -39,10 +39,10 @@
 
 /** The exchange of one manifest's chunks on this host. It continues to announce its chunks after it is complete. */
 export type Transfer = {
-	hear(parameters: HaveParameters): void;
+	receiveAnnouncement(parameters: ChunkAnnouncement): void;
 	changePeers(peers: readonly TransferPeer[]): void;
 	/** Whether all chunks have been announced by hosts, or the origin still makes progress. */
-	isRestInReach(): boolean;
+	canComplete(): boolean;
 	/** Stops fetching; the store stays open. */
 	close(): void;
 };
@@ -96,7 +96,7 @@
 	};
 
 	const fetchAndStore = async (chunk: number, source: ChunkSource): Promise<void> => {
-		const pauseMs = options.restMs?.() ?? 0;
+		const pauseMs = options.fetchPauseMs?.() ?? 0;
 		if (pauseMs > 0) {
 			await delay(Math.min(pauseMs, maxPauseMs));
 			dispatch({
@@ -173,7 +173,7 @@
 		dispatch({type: 'tick'});
 	}, tickMs);
 	return {
-		hear(parameters) {
+		receiveAnnouncement(parameters) {
 			addresses.set(parameters.from, parameters.address);
 			recordAnnouncedLimits(links, parameters);
 			dispatch({
@@ -187,7 +187,7 @@
 
 			dispatch({type: 'peersChanged', peers});
 		},
-		isRestInReach: () => isRestInReach(state, performance.now()),
+		canComplete: () => isRemainderAvailable(state, performance.now()),
 		close() {
 			isClosed = true;
 			clearInterval(timer);
--- a/packages/daemon/src/agent/upload-server.ts
+++ b/packages/daemon/src/agent/upload-server.ts
@@ -9,7 +9,7 @@
 export type UploadServerOptions = {
 	readonly links: TransferLinks;
 	/** Bytes per write; larger writes queue ahead of the endpoint's own traffic on the same link. @default 65536 */
-	readonly pieceBytes?: number;
+	readonly maxWriteBytes?: number;
 	readChunk(manifestId: string, chunk: number): Promise<Uint8Array | null>;
 };
 
@@ -21,7 +21,7 @@
 const busyRetryMs = 50;
 
 /** Serves `GET /chunks/MANIFEST/INDEX` to peers: few uploads at a time, paced by the link's budget. */
-export const createUploadServer = ({links, readChunk, pieceBytes = defaultWriteBytes}: UploadServerOptions) => {
+export const createUploadServer = ({links, readChunk, maxWriteBytes: pieceBytes = defaultWriteBytes}: UploadServerOptions) => {
 	const {uploads} = links;
 	let lastSend: Promise<void> = Promise.resolve();
 
@@ -36,7 +36,7 @@
 		try {
 			for (let offset = 0; offset < data.length && !response.destroyed; offset += pieceBytes) {
 				const part = data.subarray(offset, offset + pieceBytes);
-				await links.takeOut(part.length);
+				await links.throttleOutgoing(part.length);
 				// Does not wait for a slow receiver, which would delay all others. The upload slots bound the buffered bytes.
 				response.write(part);
 				await nextTurn();
--- a/packages/daemon/src/agent/weights.ts
+++ b/packages/daemon/src/agent/weights.ts
@@ -1,6 +1,6 @@
-import type {HaveParameters, TransferStatus} from '@bitternpaddle/protocol';
+import type {ChunkAnnouncement, TransferStatus} from '@bitternpaddle/protocol';
 import {
-	adapterOrderOf, removeOtherStores, versionIdSchema, type Assignment, type Catalog, type ManifestId,
+	requiredAdaptersOf, removeOtherStores, versionIdSchema, type Assignment, type Catalog, type ManifestId,
 } from '@bitternpaddle/state';
 import {activate, watchEngine, type ActivationOrder} from './activation.js';
 import {createFetchedChunks, type FetchedChunks, type FetchOptions} from './fetched-chunks.js';
@@ -27,7 +27,7 @@
 	/** The verified version that is loaded in the engine, or `null`. */
 	loaded(): LoadedWeights | null;
 	applyCatalog(catalog: Catalog): void;
-	handleAnnouncement(parameters: HaveParameters): void;
+	handleAnnouncement(parameters: ChunkAnnouncement): void;
 	readChunk(manifestId: string, chunk: number): Promise<Uint8Array | null>;
 	statuses(): TransferStatus[];
 	close(): Promise<void>;
@@ -121,7 +121,7 @@
 		const {versionId, fencingNumber} = job.assignment;
 		const {manifest, filePath} = job.chunks.store()!;
 		const wanted: ActivationOrder = {
-			versionId, versionFencingNumber: fencingNumber, fencingNumber: adapterOrderOf(catalog!, hostId)?.fencingNumber ?? fencingNumber,
+			versionId, versionFencingNumber: fencingNumber, fencingNumber: requiredAdaptersOf(catalog!, hostId)?.fencingNumber ?? fencingNumber,
 			manifestId: job.chunks.manifestId, digest: manifest.wholeDigest, filePath,
 		};
 		ready = null;
--- a/packages/daemon/src/control/control-rpc.ts
+++ b/packages/daemon/src/control/control-rpc.ts
@@ -1,7 +1,7 @@
 import {
-	consensusEnvelopesSchema, foldSchema, formationParametersSchema, inForceParametersSchema, proposeParametersSchema, queryParametersSchema,
+	consensusEnvelopesSchema, reportAggregateSchema, formationParametersSchema, inForceParametersSchema, proposeParametersSchema, queryParametersSchema,
 	reportsParametersSchema, rpcErrorCodes, standbyParametersSchema, watchParametersSchema,
-	type Fold, type FoldResult, type InForceResult, type QueryResult, type Show,
+	type ReportAggregate, type ReportAggregateResult, type InForceResult, type QueryResult, type Show,
 } from '@bitternpaddle/protocol';
 import {
 	createRpcServer, RpcError, type Logger, type RpcServer,
@@ -35,7 +35,7 @@
 	/** The latest reports of the hosts that watch this control host. */
 	ownReports(): SessionReport[];
 	/** Processes another control host's aggregated host reports, as leader. */
-	receiveAggregate(aggregate: Fold): FoldResult;
+	receiveAggregate(aggregate: ReportAggregate): ReportAggregateResult;
 	inForce(revision: number): InForceResult;
 };
 
@@ -66,7 +66,7 @@
 		assertSameSystem(parameters.systemId);
 		return hub.watch(parameters);
 	});
-	rpc.method('control.fold', foldSchema, aggregate => {
+	rpc.method('control.fold', reportAggregateSchema, aggregate => {
 		if (!isLeader()) {
 			throw new RpcError(rpcErrorCodes.notLeader, 'this control host does not lead');
 		}
--- a/packages/daemon/src/control/create-control-node.ts
+++ b/packages/daemon/src/control/create-control-node.ts
@@ -1,7 +1,7 @@
 import {randomInt, randomUUID} from 'node:crypto';
 import {
-	createLossBudget, createPresence, createReportFold, forgetHost, formedVoters, hasLeaderLease, hearFold, hostOfMember, inForceOf, isInContact, leaseTimes,
-	noteSilentMembers, planMembership, resetPresence, type LeaderWord,
+	createLossBudget, createPresence, createReportAggregator, forgetHost, formedVoters, hasLeaderLease, recordAggregate, hostOfMember, inForceOf, isInContact, leaseTimes,
+	markSilentMembers, planMembership, resetPresence, type LeaderLease,
 } from '@bitternpaddle/coordination';
 import type {HostReport, Show} from '@bitternpaddle/protocol';
 import {
@@ -14,8 +14,8 @@
 import {createRecorder} from '../recording/recorder.js';
 import {createConsensusDriver, type ConsensusDriver} from './consensus-driver.js';
 import {createControlRpc} from './control-rpc.js';
-import {createAggregateSender} from './aggregate-sender.js';
-import {handOver} from './hand-over.js';
+import {createAggregateSender} from './fold-sender.js';
+import {handOverLeadership} from './hand-over.js';
 import {gatherReports, viewHosts, type SessionReport} from './host-view.js';
 import {openMemberIdentity} from './member-identity.js';
 import {createPeerSender} from './peer-sender.js';
@@ -26,7 +26,7 @@
 } from './replica.js';
 import {createRolloutDriver, rolloutIntervalMs} from './rollout-driver.js';
 import {createSnapshotTaker} from './snapshot-taker.js';
-import {createVoterRepair, repairMs} from './voter-repair.js';
+import {createVoterRepair, repairIntervalMs} from './voter-repair.js';
 import {createWatchHub} from './watch-hub.js';
 
 export type ControlNodeOptions = {
@@ -95,10 +95,10 @@
 	let leadingSinceMs = 0;
 	let isStopping = false;
 	let handOverCompleted: Promise<unknown> = Promise.resolve();
-	let leaderLease: LeaderWord | null = null;
+	let leaderLease: LeaderLease | null = null;
 	let lossBudget = createLossBudget();
-	const presence = createPresence({hostLeaseMs: leaseMs, memberLeaseMs: leaseTimes.wordMs});
-	const aggregator = createReportFold({memberId: selfId, silentMs: leaseMs, epoch: Date.now()});
+	const presence = createPresence({hostLeaseMs: leaseMs, memberLeaseMs: leaseTimes.leaderLeaseMs});
+	const aggregator = createReportAggregator({memberId: selfId, silentMs: leaseMs, epoch: Date.now()});
 	const proposals = createProposals({append: payload => driver.propose(payload)});
 	const snapshots = createSnapshotTaker({
 		logger, snapshotEntries, replica: () => replica, driver: () => driver,
@@ -163,7 +163,7 @@
 
 	const aggregateSender = createAggregateSender({
 		aggregator, isLeader, leaderAddress,
-		recordOwnAggregate: message => hearFold(presence, message, performance.now()),
+		recordOwnAggregate: message => recordAggregate(presence, message, performance.now()),
 		onLeaderLease(lease) {
 			leaderLease = lease;
 			hub.wake();
@@ -173,13 +173,13 @@
 		leaseMs, aggregator,
 		replica: () => replica,
 		// A leader that holds its lease grants it to itself, as of now.
-		currentLeaderLease: () => isLeader() ? {askedAtMs: Number.POSITIVE_INFINITY, untilMs: Number.POSITIVE_INFINITY, revision: replica.state.catalog.revision} : leaderLease,
+		currentLeaderLease: () => isLeader() ? {requestedAtMs: Number.POSITIVE_INFINITY, untilMs: Number.POSITIVE_INFINITY, revision: replica.state.catalog.revision} : leaderLease,
 	});
 	const reconciler = createReconciler({
 		proposals, logger, isLeader,
 		plan() {
 			const nowMs = performance.now();
-			noteSilentMembers(presence, nowMs);
+			markSilentMembers(presence, nowMs);
 			const {catalog} = replica.state;
 			return [...planSystemName(catalog), ...planMembership({
 				catalog, presence, budget: lossBudget, nowMs, hostLossMs,
@@ -201,7 +201,7 @@
 		leadingSinceMs: () => leadingSinceMs,
 	});
 	const rpc = createControlRpc({
-		driver, proposals, hub, logger, identity, systemId: () => replica.state.catalog.systemId ?? null, recordStandby: repair.hear, isLeader, leaderAddress, ownReports,
+		driver, proposals, hub, logger, identity, systemId: () => replica.state.catalog.systemId ?? null, recordStandby: repair.recordAnnouncement, isLeader, leaderAddress, ownReports,
 		whenHandedOver: async () => handOverCompleted,
 		async view(subject) {
 			const gathered = detailedSubjects.has(subject) ? await gather() : [];
@@ -211,8 +211,8 @@
 				catalog, registry: viewHosts(presence, gathered, nowMs), inForce: inForceOf(presence, catalog.revision, nowMs), nowMs, leaseMs,
 			};
 		},
-		receiveAggregate: message => hearFold(presence, message, performance.now())
-			? {type: 'taken', revision: replica.state.catalog.revision, leaseMs: leaseTimes.wordMs}
+		receiveAggregate: message => recordAggregate(presence, message, performance.now())
+			? {type: 'taken', revision: replica.state.catalog.revision, leaseMs: leaseTimes.leaderLeaseMs}
 			: {type: 'wantsAll'},
 		inForce: revision => inForceOf(presence, revision, performance.now()),
 	});
@@ -248,13 +248,13 @@
 		setInterval(() => {
 			void form();
 		}, formationIntervalMs),
-		setInterval(repair.run, repairMs),
+		setInterval(repair.run, repairIntervalMs),
 		setInterval(() => {
 			void reconciler.reconcile();
 		}, reconcileIntervalMs),
 		setInterval(() => {
 			void aggregateSender.send();
-		}, leaseTimes.askMs),
+		}, leaseTimes.leaderRequestIntervalMs),
 		setInterval(() => {
 			void rollouts.advance();
 		}, rolloutIntervalMs),
@@ -266,7 +266,7 @@
 	};
 
 	const handOverAndLog = async (): Promise<void> => {
-		const result = await handOver({driver});
+		const result = await handOverLeadership({driver});
 		if (result.type === 'handedOver') {
 			logger.event('BP1011', {leaderId: hostOfMember(result.leaderId), tookMs: result.tookMs});
 		} else if (result.type === 'failed') {
--- a/packages/daemon/src/control/aggregate-sender.ts
+++ b/packages/daemon/src/control/fold-sender.ts
@@ -1,18 +1,18 @@
 import {
-	leaseTimes, restartFold, startFoldForLeader, takeFold, type LeaderWord, type ReportFold,
+	leaseTimes, restartAggregator, restartAggregatorForLeader, takeAggregate, type LeaderLease, type ReportAggregator,
 } from '@bitternpaddle/coordination';
-import type {Fold, FoldResult} from '@bitternpaddle/protocol';
+import type {ReportAggregate, ReportAggregateResult} from '@bitternpaddle/protocol';
 import {callRpc} from '@bitternpaddle/transport';
 
 export type AggregateSenderOptions = {
-	readonly aggregator: ReportFold;
+	readonly aggregator: ReportAggregator;
 	isLeader(): boolean;
 	/** Address of the leader; `undefined` while there is none or this host leads. */
 	leaderAddress(): string | undefined;
 	/** Records this host's own aggregate while it leads; `false` if a full aggregate is required. */
-	recordOwnAggregate(message: Fold): boolean;
+	recordOwnAggregate(message: ReportAggregate): boolean;
 	/** Called when the leader has granted this host a lease. */
-	onLeaderLease(lease: LeaderWord): void;
+	onLeaderLease(lease: LeaderLease): void;
 };
 
 export type AggregateSender = {
@@ -27,17 +27,17 @@
 	const {aggregator, isLeader, leaderAddress, recordOwnAggregate, onLeaderLease} = options;
 	let isSending = false;
 
-	const sendTo = async (address: string, message: Fold): Promise<void> => {
+	const sendTo = async (address: string, message: ReportAggregate): Promise<void> => {
 		const sentAtMs = performance.now();
-		const result = await callRpc<FoldResult>({
-			address, method: 'control.fold', params: message, timeoutMs: leaseTimes.askTimeoutMs,
+		const result = await callRpc<ReportAggregateResult>({
+			address, method: 'control.fold', params: message, timeoutMs: leaseTimes.leaderRequestTimeoutMs,
 		});
 		if (result.type === 'wantsAll') {
-			restartFold(aggregator);
+			restartAggregator(aggregator);
 			return;
 		}
 
-		onLeaderLease({askedAtMs: sentAtMs, untilMs: sentAtMs + result.leaseMs, revision: result.revision});
+		onLeaderLease({requestedAtMs: sentAtMs, untilMs: sentAtMs + result.leaseMs, revision: result.revision});
 	};
 
 	return {
@@ -48,7 +48,7 @@
 				return;
 			}
 
-			const message = takeFold(aggregator, performance.now());
+			const message = takeAggregate(aggregator, performance.now());
 			if (message === null) {
 				return;
 			}
@@ -58,17 +58,17 @@
 				if (!isOwn) {
 					await sendTo(address!, message);
 				} else if (!recordOwnAggregate(message)) {
-					restartFold(aggregator);
+					restartAggregator(aggregator);
 				}
 			} catch {
 				// It is unknown whether the leader received the message, so the next one is a full aggregate.
-				restartFold(aggregator);
+				restartAggregator(aggregator);
 			} finally {
 				isSending = false;
 			}
 		},
 		startForLeader() {
-			startFoldForLeader(aggregator);
+			restartAggregatorForLeader(aggregator);
 		},
 	};
 };
--- a/packages/daemon/src/control/hand-over.ts
+++ b/packages/daemon/src/control/hand-over.ts
@@ -17,7 +17,7 @@
 const pollIntervalMs = 5;
 
 /** Hands the leadership over and waits until another host leads. */
-export const handOver = async ({driver, timeoutMs = 2000}: HandOverOptions): Promise<HandOverResult> => {
+export const handOverLeadership = async ({driver, timeoutMs = 2000}: HandOverOptions): Promise<HandOverResult> => {
 	const {state} = driver;
 	if (state.role !== 'leader' || state.members.voters.length < 2) {
 		return {type: 'nothingToDo'};
@@ -27,7 +27,7 @@
 	driver.transferLeadership();
 	while (performance.now() < startedAtMs + timeoutMs) {
 		await delay(pollIntervalMs);
-		const {role, leaderId, transferSinceMs} = driver.state;
+		const {role, leaderId, transferStartedAtMs: transferSinceMs} = driver.state;
 		if (role === 'follower' && leaderId !== null) {
 			return {type: 'handedOver', leaderId, tookMs: Math.round(performance.now() - startedAtMs)};
 		}
--- a/packages/daemon/src/control/peer-sender.ts
+++ b/packages/daemon/src/control/peer-sender.ts
@@ -32,7 +32,7 @@
 
 		// The consensus protocol resends a lost message.
 		await notifyRpc({
-			address, method: 'consensus.messages', params: {envelopes}, timeoutMs: requestTimeoutMs, isPacked,
+			address, method: 'consensus.messages', params: {envelopes}, timeoutMs: requestTimeoutMs, isCompressed: isPacked,
 		}).catch(() => undefined);
 	};
 
--- a/packages/daemon/src/control/snapshot-taker.ts
+++ b/packages/daemon/src/control/snapshot-taker.ts
@@ -1,4 +1,4 @@
-import {canonicalJsonInSteps, freezeState} from '@bitternpaddle/state';
+import {canonicalJsonInSteps, copyState} from '@bitternpaddle/state';
 import type {Logger} from '@bitternpaddle/transport';
 import type {ConsensusDriver} from './consensus-driver.js';
 import type {Replica} from './replica.js';
@@ -33,7 +33,7 @@
 
 	const takeSnapshot = async (): Promise<void> => {
 		const {state, appliedIndex: index, appliedTerm: term} = replica();
-		const encodedState = await canonicalJsonInSteps(freezeState(state), {pause: nextTurn});
+		const encodedState = await canonicalJsonInSteps(copyState(state), {pause: nextTurn});
 		isTakingSnapshot = false;
 		// A snapshot that the leader sent meanwhile may be newer.
 		if (!isClosed && index > (driver().state.snapshot?.index ?? 0)) {
--- a/packages/daemon/src/control/voter-repair.ts
+++ b/packages/daemon/src/control/voter-repair.ts
@@ -18,12 +18,12 @@
 
 export type VoterRepair = {
 	/** Records that a control host has announced itself as not being a member. */
-	hear(memberId: string): void;
+	recordAnnouncement(memberId: string): void;
 	/** Announces this host if it is on standby, and changes the members if it leads. */
 	run(): void;
 };
 
-export const repairMs = 250;
+export const repairIntervalMs = 250;
 const announceIntervalMs = 1000;
 
 /** Maintains the number of voters: standby hosts become learners, and a learner replaces a lost voter. */
@@ -65,7 +65,7 @@
 	};
 
 	return {
-		hear(memberId) {
+		recordAnnouncement(memberId) {
 			standbys.set(memberId, now());
 		},
 		run() {
--- a/packages/daemon/src/control/watch-hub.ts
+++ b/packages/daemon/src/control/watch-hub.ts
@@ -1,5 +1,5 @@
 import {
-	changesSince, decideWatch, encodeCatalog, grantedLeaseMs, hearWatch, type LeaderWord, type ReportFold, type WatchDecision,
+	changesSince, decideWatch, encodeCatalog, grantedLeaseMs, recordWatch, type LeaderLease, type ReportAggregator, type WatchDecision,
 } from '@bitternpaddle/coordination';
 import {rpcErrorCodes, type WatchParameters, type WatchResult} from '@bitternpaddle/protocol';
 import {RpcError} from '@bitternpaddle/transport';
@@ -7,10 +7,10 @@
 
 export type WatchHubOptions = {
 	readonly leaseMs: number;
-	readonly aggregator: ReportFold;
+	readonly aggregator: ReportAggregator;
 	replica(): Replica;
 	/** The last lease that the leader granted this host; while this host leads, its own. */
-	currentLeaderLease(): LeaderWord | null;
+	currentLeaderLease(): LeaderLease | null;
 };
 
 export type WatchHub = {
@@ -65,7 +65,7 @@
 		return changes === null || grantedLease === null
 			? null
 			: {
-				type: 'changes', changes, revision: catalog.revision, digest: catalog.digest, leaseMs: grantedLeaseMs({word: grantedLease, hostLeaseMs: leaseMs, arrivedAtMs}),
+				type: 'changes', changes, revision: catalog.revision, digest: catalog.digest, leaseMs: grantedLeaseMs({lease: grantedLease, hostLeaseMs: leaseMs, arrivedAtMs}),
 			};
 	};
 
@@ -81,7 +81,7 @@
 	};
 
 	const decide = ({revision}: WatchParameters, arrivedAtMs: number): WatchDecision => decideWatch({
-		word: currentLeaderLease(), ownRevision: replica().state.catalog.revision, hostRevision: revision, arrivedAtMs, nowMs: performance.now(),
+		leaderLease: currentLeaderLease(), ownRevision: replica().state.catalog.revision, hostRevision: revision, arrivedAtMs, nowMs: performance.now(),
 	});
 
 	const assertQuorumContact = (decision: WatchDecision): void => {
@@ -112,7 +112,7 @@
 			}
 
 			const arrivedAtMs = performance.now();
-			if (!hearWatch(aggregator, parameters, arrivedAtMs)) {
+			if (!recordWatch(aggregator, parameters, arrivedAtMs)) {
 				return {type: 'unknownHost'};
 			}
 
--- a/packages/daemon/src/dev/create-dev-cluster.ts
+++ b/packages/daemon/src/dev/create-dev-cluster.ts
@@ -14,7 +14,7 @@
 /** An availability zone of a user deployment and its region. */
 export type ZoneLocation = {readonly zoneId: string; readonly regionId: string};
 
-export const cascadiaHalls: readonly ZoneLocation[] = [
+export const cascadiaZones: readonly ZoneLocation[] = [
 	{zoneId: 'tacoma-hall', regionId: 'puget'},
 	{zoneId: 'salem-hall', regionId: 'willamette'},
 	{zoneId: 'spokane-hall', regionId: 'inland'},
@@ -82,17 +82,17 @@
 	})));
 	const controlAddresses = controls.map(control => control.address);
 	const entries = await Promise.all(Array.from({length: entryCount}, async (_, index) => createEntryNode({
-		entryId: `entry-${index + 1}`, ...cascadiaHalls[index % cascadiaHalls.length]!, controls: controlAddresses,
+		entryId: `entry-${index + 1}`, ...cascadiaZones[index % cascadiaZones.length]!, controls: controlAddresses,
 		listen: index === 0 ? listen : '127.0.0.1:0', adminTokens: [{role: 'administer', token: adminToken}, ...adminTokens], limits, logger,
 	})));
 	const engines = await Promise.all(Array.from({length: engineCount}, async () => createFakeEngine()));
 	const agents = await Promise.all(engines.map(async (engine, index) => createAgentNode({
-		hostId: `h${index + 1}`, ...cascadiaHalls[index % cascadiaHalls.length]!, serviceId: 'bp-writers', provider: index < oldEngines ? 'old' : 'new', kind: 'engine',
+		hostId: `h${index + 1}`, ...cascadiaZones[index % cascadiaZones.length]!, serviceId: 'bp-writers', provider: index < oldEngines ? 'old' : 'new', kind: 'engine',
 		endpointAddress: engine.address, controls: controlAddresses, originAddress: origin.address, folder: path.join(folder, `h${index + 1}`), logger,
 	})));
 	const ledger = await createFakeService();
 	agents.push(await createAgentNode({
-		hostId: `h${engineCount + 1}`, ...cascadiaHalls[0]!, serviceId: 'ledger', provider: 'new', kind: 'plain',
+		hostId: `h${engineCount + 1}`, ...cascadiaZones[0]!, serviceId: 'ledger', provider: 'new', kind: 'plain',
 		endpointAddress: ledger.address, controls: controlAddresses, originAddress: origin.address, folder: path.join(folder, 'ledger'), logger,
 	}));
 	return {
--- a/packages/daemon/src/dev/deployments.ts
+++ b/packages/daemon/src/dev/deployments.ts
@@ -1,4 +1,4 @@
-import {cascadiaHalls, type ZoneLocation} from './create-dev-cluster.js';
+import {cascadiaZones, type ZoneLocation} from './create-dev-cluster.js';
 
 export type DeploymentService = {
 	readonly serviceId: string;
@@ -13,7 +13,7 @@
 /** A user deployment with the sizes that its users specified. */
 export type Deployment = {
 	readonly name: string;
-	readonly halls: readonly ZoneLocation[];
+	readonly locations: readonly ZoneLocation[];
 	/** One-way latencies. */
 	readonly latencyMs: {readonly betweenZones: number; readonly betweenRegions: number; readonly toClients: number};
 	/** The calls of the last service may not be repeated. */
@@ -26,7 +26,7 @@
 
 export const midwayPitchDesk: Deployment = {
 	name: 'Midway Pitch Desk of Cascadia',
-	halls: cascadiaHalls,
+	locations: cascadiaZones,
 	latencyMs: {betweenZones: 1, betweenRegions: 2, toClients: 1},
 	services: [
 		{
@@ -44,7 +44,7 @@
 
 export const stationCleaningRouterFleet: Deployment = {
 	name: 'Station Cleaning Router Fleet of Isuku',
-	halls: [
+	locations: [
 		{zoneId: 'nyabugogo-hall', regionId: 'kigali'},
 		{zoneId: 'musanze-hall', regionId: 'musanze'},
 		{zoneId: 'huye-hall', regionId: 'huye'},
--- a/packages/daemon/src/dev/failure/create-failure-cluster.ts
+++ b/packages/daemon/src/dev/failure/create-failure-cluster.ts
@@ -9,7 +9,7 @@
 import {createAgentNode, type AgentNode, type AgentNodeOptions} from '../../agent/create-agent-node.js';
 import {createControlNode, type ControlNode} from '../../control/create-control-node.js';
 import {createEntryNode, type EntryNode} from '../../entry/create-entry-node.js';
-import {cascadiaHalls, randomWeights, type ZoneLocation} from '../create-dev-cluster.js';
+import {cascadiaZones, randomWeights, type ZoneLocation} from '../create-dev-cluster.js';
 import type {DeploymentService} from '../deployments.js';
 import {anyNode, createLinks, type Links} from './links.js';
 import {createNodeHandle, type NodeHandle} from './node-handle.js';
@@ -26,7 +26,7 @@
 	/** One-way latency of every link between nodes. @default 0 */
 	readonly latencyMs?: number;
 	/** Availability zones, to which endpoints are assigned in turn. @default cascadiaHalls */
-	readonly halls?: readonly ZoneLocation[];
+	readonly zoneLocations?: readonly ZoneLocation[];
 	/** @default 64 * 1024 */
 	readonly weightsBytes?: number;
 	/** @default 8 * 1024 */
@@ -130,7 +130,7 @@
 type Endpoints = {readonly engines: Map<string, FakeEngine>; readonly ledger: FakeService; readonly agents: Array<NodeHandle<AgentNode>>};
 
 const createEndpoints = async (context: Context): Promise<Endpoints> => {
-	const {history, halls, tokenMs, checksFencing} = context;
+	const {history, zoneLocations: halls, tokenMs, checksFencing} = context;
 	const engines = new Map<string, FakeEngine>();
 	const agents: Array<NodeHandle<AgentNode>> = [];
 	let ledger: FakeService | undefined;
@@ -176,7 +176,7 @@
 		await origin.publish(randomWeights(2, weightsBytes), chunkSizeBytes),
 	];
 	const context: Context = {
-		entries: 2, engines: 4, latencyMs: 0, halls: cascadiaHalls, tokenMs: 1, hostLossMs: 5000, deadlineMs: 2000, limits: {endpointIdleMs: 1500, unattendedMs: 1000},
+		entries: 2, engines: 4, latencyMs: 0, zoneLocations: cascadiaZones, tokenMs: 1, hostLossMs: 5000, deadlineMs: 2000, limits: {endpointIdleMs: 1500, unattendedMs: 1000},
 		weights: {}, checksFencing: true, ...options,
 		controls: controlCount, weightsBytes, chunkSizeBytes, folder: await mkdtemp(path.join(os.tmpdir(), 'bitternpaddle-failure-')),
 		services: options.services ?? defaultServices(options.engines ?? 4),
--- a/packages/daemon/src/dev/failure/links.ts
+++ b/packages/daemon/src/dev/failure/links.ts
@@ -15,7 +15,7 @@
 	/** Makes all links to `to` refuse connections; after a planned stop, data that was already sent still arrives. */
 	disconnect(to: string, mode: 'planned' | 'crash'): void;
 	/** Links whose source or destination is one of `nodeIds`. */
-	touching(nodeIds: readonly string[]): Link[];
+	adjacentTo(nodeIds: readonly string[]): Link[];
 	/** Forwards everything again and closes connections that have lost bytes. */
 	heal(): void;
 	close(): void;
@@ -59,7 +59,7 @@
 				}
 			}
 		},
-		touching: nodeIds => [...links.values()].filter(({from, to}) => nodeIds.includes(from) || nodeIds.includes(to)),
+		adjacentTo: nodeIds => [...links.values()].filter(({from, to}) => nodeIds.includes(from) || nodeIds.includes(to)),
 		heal() {
 			for (const {relay} of links.values()) {
 				relay.setModes(openModes);
--- a/packages/daemon/src/dev/failure/node-handle.ts
+++ b/packages/daemon/src/dev/failure/node-handle.ts
@@ -63,7 +63,7 @@
 	};
 
 	const setModes = (modes: RelayModes): void => {
-		for (const {relay} of links.touching([nodeId])) {
+		for (const {relay} of links.adjacentTo([nodeId])) {
 			relay.setModes(modes);
 		}
 	};
--- a/packages/daemon/src/dev/transfer-mesh.ts
+++ b/packages/daemon/src/dev/transfer-mesh.ts
@@ -1,6 +1,6 @@
 import path from 'node:path';
 import type {SwarmPeer} from '@bitternpaddle/coordination';
-import {haveParametersSchema} from '@bitternpaddle/protocol';
+import {chunkAnnouncementSchema} from '@bitternpaddle/protocol';
 import {
 	openChunkStore, type ChunkStore, type Manifest, type ManifestId,
 } from '@bitternpaddle/state';
@@ -66,8 +66,8 @@
 		inBytesPerSecond, outBytesPerSecond, hasStore: storeAddress !== undefined, gateLoad: () => ({running: 0, capacity: 1}),
 	});
 	const rpc = createRpcServer();
-	rpc.method('agent.have', haveParametersSchema, parameters => {
-		transfers.get(parameters.manifestId)?.hear(parameters);
+	rpc.method('agent.have', chunkAnnouncementSchema, parameters => {
+		transfers.get(parameters.manifestId)?.receiveAnnouncement(parameters);
 	});
 	const sendChunk = createUploadServer({
 		links,
--- a/packages/daemon/src/entry/admin-api.ts
+++ b/packages/daemon/src/entry/admin-api.ts
@@ -145,7 +145,7 @@
 			} else if (request.method === 'GET' && request.url === burnReportPath) {
 				sendJson(response, 200, await burnReport(token));
 			} else if (request.method === 'GET' && /^\d+$/v.test(request.url!.slice(inForcePrefix.length)) && request.url!.startsWith(inForcePrefix)) {
-				sendJson(response, 200, await configuration.spread(Number(request.url!.slice(inForcePrefix.length))));
+				sendJson(response, 200, await configuration.queryInForce(Number(request.url!.slice(inForcePrefix.length))));
 			} else {
 				throw new AdminError(404, 'not_found', `${request.method} ${request.url}: expected POST ${commandsPath} or GET ${burnReportPath}`);
 			}
--- a/packages/daemon/src/entry/attempt-connection.ts
+++ b/packages/daemon/src/entry/attempt-connection.ts
@@ -5,7 +5,7 @@
 	createAttempt, type AttemptEffect, type AttemptEvent, type AttemptState, type GiveUpCause,
 } from '@bitternpaddle/coordination';
 import {
-	adapterHeader, endedRefusal, endMarkerSchema, endMarkerTrailer, fullRefusal, incarnationHeader, refusalHeader, requestIdHeader, verdictHeader, type Issue, type SettleResult,
+	adapterHeader, endpointExitRefusal, endMarkerSchema, endMarkerTrailer, fullRefusal, incarnationHeader, refusalHeader, requestIdHeader, verdictHeader, type Issue, type AttemptResolution,
 } from '@bitternpaddle/protocol';
 import {mayHaveRun, notRun} from '@bitternpaddle/state';
 import {
@@ -72,9 +72,9 @@
 			...options, address: endpoint.address, idleTimeoutMs: suspectMs, signal,
 		});
 		running.connection = connection;
-		running.attempt.peers?.note(connection.headers);
+		running.attempt.peers?.handleResponseHeaders(connection.headers);
 		running.partIterator = (connection as AsyncIterable<Buffer>)[Symbol.asyncIterator]();
-		running.hasEndpointExited ||= connection.headers[refusalHeader] === endedRefusal;
+		running.hasEndpointExited ||= connection.headers[refusalHeader] === endpointExitRefusal;
 		const verdict = connection.headers[verdictHeader];
 		if (verdict === 'ran') {
 			return {type: 'head', isOwn: connection.headers[requestIdHeader] === requestId && isFromAdapter(running.attempt, connection.headers[adapterHeader])};
@@ -117,7 +117,7 @@
  */
 export const resolveAttempt = async ({endpoint, attemptId, issue}: Attempt, isCancel: boolean): Promise<AttemptEvent> => {
 	try {
-		const {type} = await callRpc<SettleResult>({
+		const {type} = await callRpc<AttemptResolution>({
 			address: endpoint.address, method: 'agent.settle', timeoutMs: isCancel ? cancelTimeoutMs : resolveTimeoutMs, agent: false,
 			params: {
 				attemptId, incarnation: endpoint.incarnation, issue, isCancel,
--- a/packages/daemon/src/entry/attempt.ts
+++ b/packages/daemon/src/entry/attempt.ts
@@ -13,7 +13,7 @@
 	readonly issue: Issue;
 	readonly revision: number;
 	/** Exchanges configuration revisions with the agent. */
-	readonly peers?: Pick<Peers, 'headers' | 'note'>;
+	readonly peers?: Pick<Peers, 'headers' | 'handleResponseHeaders'>;
 	readonly method: string;
 	readonly path: string;
 	readonly contentType: string;
--- a/packages/daemon/src/entry/attempts.ts
+++ b/packages/daemon/src/entry/attempts.ts
@@ -152,7 +152,7 @@
 			},
 		});
 	if (outcome.type === 'answer') {
-		options.failing?.note(endpoint.hostId, true);
+		options.failing?.recordAttempt(endpoint.hostId, true);
 		routed.begin(outcome.answer.headers);
 		endOnResponseClose(call, routed);
 		progress.answer = outcome.answer;
@@ -160,7 +160,7 @@
 	}
 
 	const {cause, verdict} = outcome;
-	options.failing?.note(endpoint.hostId, isRefusal(cause));
+	options.failing?.recordAttempt(endpoint.hostId, isRefusal(cause));
 	routed.end(routedEndOf(cause));
 	return {type: 'unanswered', cause, verdict};
 };
--- a/packages/daemon/src/entry/count-burn.ts
+++ b/packages/daemon/src/entry/count-burn.ts
@@ -39,7 +39,7 @@
 		serviceId: record.serviceId,
 		teamId: record.teamId,
 		atMs: record.arrivedAtMs + record.endedAfterMs!,
-		isWhole: record.state === 'answered' && status < firstServerErrorStatus,
+		isComplete: record.state === 'answered' && status < firstServerErrorStatus,
 		firstTokenMs: record.firstByteAfterMs,
 		firstTokenBoundMs: firstTokenMs,
 	});
--- a/packages/daemon/src/entry/dispatch.ts
+++ b/packages/daemon/src/entry/dispatch.ts
@@ -18,9 +18,9 @@
 	/** Ends normally only if the answer is complete and belongs to this request; otherwise throws `BrokenAnswerError`. */
 	parts(): AsyncGenerator<Buffer, void>;
 	/** Turns the idle timeout of the connection on or off; it is off while a slow caller blocks the reading. */
-	watch(isWatched: boolean): void;
+	monitorSilence(isWatched: boolean): void;
 	/** Whether the endpoint's process exited before the answer was complete. */
-	hasEndpointEnded(): boolean;
+	didEndpointExit(): boolean;
 };
 
 export type AttemptOutcome
@@ -84,8 +84,8 @@
 	return {
 		status: statusCode!, headers,
 		parts: () => readParts(running),
-		hasEndpointEnded: () => running.hasEndpointExited,
-		watch(isWatched) {
+		didEndpointExit: () => running.hasEndpointExited,
+		monitorSilence(isWatched) {
 			if (running.connection?.complete === false) {
 				running.connection.socket.setTimeout(isWatched ? running.attempt.suspectMs : 0);
 			}
--- a/packages/daemon/src/entry/entry-peers.ts
+++ b/packages/daemon/src/entry/entry-peers.ts
@@ -75,11 +75,11 @@
 	/** How long an entry may send no data. @default 3000 */
 	readonly silentMs?: number;
 	/** How long an entry's complete answer may take. @default 8000 */
-	readonly answerMs?: number;
+	readonly answerTimeoutMs?: number;
 	/** Time after which no further entry is requested; an operator's program waits for 30 s. @default 20000 */
-	readonly totalMs?: number;
+	readonly totalTimeoutMs?: number;
 	/** Entries that are requested concurrently. @default 8 */
-	readonly lanes?: number;
+	readonly concurrency?: number;
 };
 
 /** More than an entry with the maximum number of service and team pairs sends. */
@@ -93,7 +93,7 @@
  */
 export const createEntryPeers = (configuration: Pick<ConfigurationClient, 'query'>, options: EntryPeersOptions = {}): EntryPeers => {
 	const {
-		silentMs = 3000, answerMs = 8000, totalMs = 20_000, lanes = 8,
+		silentMs = 3000, answerTimeoutMs: answerMs = 8000, totalTimeoutMs: totalMs = 20_000, concurrency: lanes = 8,
 	} = options;
 
 	const gather = async <Schema extends z.ZodType>(method: string, schema: Schema, parameters: object, onAnswer: (answer: z.output<Schema>) => Promise<void>): Promise<string[]> => {
--- a/packages/daemon/src/entry/explain.ts
+++ b/packages/daemon/src/entry/explain.ts
@@ -1,5 +1,5 @@
 import type {AttemptRecord, QueryRow, RequestRecord} from '@bitternpaddle/protocol';
-import {adapterOrderOf, type Catalog, type HostRecord} from '@bitternpaddle/state';
+import {requiredAdaptersOf, type Catalog, type HostRecord} from '@bitternpaddle/state';
 
 const row = (afterMs: number | null, event: string, detail: string): QueryRow => ({afterMs, event, detail});
 
@@ -76,7 +76,7 @@
 };
 
 const adaptersFinding = (catalog: Catalog, {announcement, assignment, readyVersionId, readyAdapterIds = []}: HostRecord): Finding | null => {
-	const ordered = adapterOrderOf(catalog, announcement.hostId)?.adapters.map(({adapterId}) => adapterId) ?? [];
+	const ordered = requiredAdaptersOf(catalog, announcement.hostId)?.adapters.map(({adapterId}) => adapterId) ?? [];
 	if (ordered.length === 0 && readyAdapterIds.length === 0) {
 		return null;
 	}
--- a/packages/daemon/src/entry/in-force.ts
+++ b/packages/daemon/src/entry/in-force.ts
@@ -12,7 +12,7 @@
 export const inForceAfter = async (configuration: ConfigurationClient, revision: number, waitMs: number): Promise<InForceResult | null> => {
 	const untilMs = performance.now() + waitMs;
 	for (;;) {
-		const status = await configuration.spread(revision).catch(() => null);
+		const status = await configuration.queryInForce(revision).catch(() => null);
 		if (status?.missing.length === 0 || performance.now() + pollIntervalMs > untilMs) {
 			return status;
 		}
--- a/packages/daemon/src/entry/limit-shares.ts
+++ b/packages/daemon/src/entry/limit-shares.ts
@@ -1,6 +1,6 @@
 import {
-	answerShareRequest, countEntries, createEntryShares, fillBuckets, setShares, setTeamRates, shareOf, takeEntries, takeShareAnswer, teamRatesOf, teamUses, tickShares,
-	type AdmissionState, type ShareAnswer, type ShareAsk, type ShareRequest,
+	answerShareRequest, countEntries, createEntryShares, fillBuckets, setShares, setTeamRates, shareOf, updateEntries, applyShareAnswer, teamRatesOf, teamUsages, tickShares,
+	type AdmissionState, type ShareAnswer, type OutgoingShareRequest, type ShareRequest,
 } from '@bitternpaddle/coordination';
 
 /** Addresses by entry id. */
@@ -54,17 +54,17 @@
 		const askedAtMs = performance.now();
 		try {
 			addresses = await listEntries();
-			takeEntries(shares, [...addresses.keys()], {askedAtMs, nowMs: performance.now()});
+			updateEntries(shares, [...addresses.keys()], {askedAtMs, nowMs: performance.now()});
 		} catch {
 			// Without control, the last known entries continue to share the limit until this entry would be considered gone.
 		} finally {
 			isRefreshing = false;
-			const isListed = shares.namedAtMs >= askedAtMs;
+			const isListed = shares.lastListedAtMs >= askedAtMs;
 			nextListAtMs = performance.now() + (isListed ? listIntervalMs(countEntries(shares)) : listRetryMs);
 		}
 	};
 
-	const requestShare = async ({to, request}: ShareAsk): Promise<void> => {
+	const requestShare = async ({to, request}: OutgoingShareRequest): Promise<void> => {
 		const address = addresses.get(to);
 		if (address === undefined) {
 			return;
@@ -73,7 +73,7 @@
 		const sentAtMs = performance.now();
 		try {
 			const answer = await requestShares(address, request);
-			takeShareAnswer(shares, to, answer, {sentAtMs, nowMs: performance.now()});
+			applyShareAnswer(shares, to, answer, {sentAtMs, nowMs: performance.now()});
 		} catch {
 			// An entry that does not answer lends nothing; its earlier loans expire.
 		}
@@ -92,7 +92,7 @@
 			}
 
 			const wasJoined = shares.isJoined;
-			const shareRequests = tickShares(shares, teamUses(admission), nowMs);
+			const shareRequests = tickShares(shares, teamUsages(admission), nowMs);
 			apply(nowMs);
 			if (!wasJoined && shares.isJoined && countEntries(shares) === 1) {
 				fillBuckets(admission);
--- a/packages/daemon/src/entry/relay.ts
+++ b/packages/daemon/src/entry/relay.ts
@@ -83,9 +83,9 @@
 		return;
 	}
 
-	answer.watch(false);
+	answer.monitorSilence(false);
 	await whenDrained(response);
-	answer.watch(true);
+	answer.monitorSilence(true);
 };
 
 const answerHeaders = (answer: AttemptAnswer, requestId: string): http.OutgoingHttpHeaders => ({
--- a/packages/daemon/src/entry/request-quarantine.ts
+++ b/packages/daemon/src/entry/request-quarantine.ts
@@ -1,5 +1,5 @@
 import {
-	clearancesToRepeat, clearRequest, createCrashLedger, fingerprintOf, isEmpty, mayBeKnown, outlineOf, pruneLedger, sightingsToRepeat, takeSightings, verdictOn,
+	clearancesToRepeat, clearRequest, createCrashLedger, fingerprintOf, isEmpty, mayHaveRecords, outlineOf, pruneLedger, sightingsToRepeat, addSightings, verdictOn,
 	type AnswerStage, type CrashSighting, type FingerprintedRequest, type RequestFingerprint, type Verdict,
 } from '@bitternpaddle/coordination';
 import type {EntryCrashesParameters} from '@bitternpaddle/protocol';
@@ -108,7 +108,7 @@
 	};
 
 	const recordAndReport = (sightings: readonly CrashSighting[], quarantinedElsewhere?: ReadonlySet<RequestFingerprint>): void => {
-		const {verdicts} = takeSightings(ledger, sightings, nowMs(), quarantinedElsewhere);
+		const {verdicts} = addSightings(ledger, sightings, nowMs(), quarantinedElsewhere);
 		for (const {fingerprint, evidence, untilMs} of verdicts) {
 			logger.event('BP2004', {
 				fingerprint, hosts: evidence.map(({address}) => address), agesMs: evidence.map(({atMs}) => Math.round(nowMs() - atMs)), untilMs: Math.round(untilMs - nowMs()),
@@ -121,7 +121,7 @@
 		}
 	};
 
-	const mayHaveVerdict = (call: Call): boolean => !isEmpty(ledger) && mayBeKnown(ledger, outlineOf(requestOf(call)));
+	const mayHaveVerdict = (call: Call): boolean => !isEmpty(ledger) && mayHaveRecords(ledger, outlineOf(requestOf(call)));
 	const verdictOf = (call: Call): Verdict | null => mayHaveVerdict(call) ? verdictOn(ledger, fingerprintOf(requestOf(call)), nowMs()) : null;
 
 	const stopQuarantinedCalls = (): void => {
--- a/packages/daemon/src/entry/routed-attempt.ts
+++ b/packages/daemon/src/entry/routed-attempt.ts
@@ -1,5 +1,5 @@
 import {
-	noteEnd, noteFirstByte, noteLoadReport, noteStart, type Endpoint, type RequestOutcome, type RouterState,
+	recordEnd, recordFirstByte, recordLoadReport, recordStart, type Endpoint, type RequestOutcome, type RouterState,
 } from '@bitternpaddle/coordination';
 import {loadHeader} from '@bitternpaddle/protocol';
 import {match} from 'ts-pattern';
@@ -18,7 +18,7 @@
 	const startedAtMs = performance.now();
 	let latencyMs: number | null = null;
 	let hasEnded = false;
-	noteStart(router, hostId, startedAtMs);
+	recordStart(router, hostId, startedAtMs);
 
 	const outcomeOf = (end: RoutedEnd): RequestOutcome => match(end)
 		.returnType<RequestOutcome>()
@@ -32,11 +32,11 @@
 		begin(headers) {
 			const nowMs = performance.now();
 			latencyMs = nowMs - startedAtMs;
-			noteFirstByte(router, hostId, nowMs);
+			recordFirstByte(router, hostId, nowMs);
 			onBegin();
 			const running = Number(headers[loadHeader]);
 			if (Number.isInteger(running)) {
-				noteLoadReport(router, hostId, {running, ageMs: 0}, nowMs);
+				recordLoadReport(router, hostId, {running, ageMs: 0}, nowMs);
 			}
 		},
 		end(end) {
@@ -45,7 +45,7 @@
 			}
 
 			hasEnded = true;
-			noteEnd(router, hostId, {outcome: outcomeOf(end), hadFirstByte: latencyMs !== null}, performance.now());
+			recordEnd(router, hostId, {outcome: outcomeOf(end), hadFirstByte: latencyMs !== null}, performance.now());
 			onEnd();
 		},
 	};
--- a/packages/daemon/src/entry/traffic.ts
+++ b/packages/daemon/src/entry/traffic.ts
@@ -1,6 +1,6 @@
 import {
-	cancelRequest, changedHostIds, chooseEndpoint, createAdmission, createRandom, createRouter, finishRequest, hasEndpoint, hasRoom, noteLoadReport, offerRequest, returnToQueue,
-	setEntries, takeRequest, tickAdmission, tickRouter, updateRouter, waitingFor,
+	cancelRequest, changedHostIds, chooseEndpoint, createAdmission, createRandom, createRouter, finishRequest, hasEndpoint, hasSpareSlots, recordLoadReport, offerRequest, returnToQueue,
+	setEntries, dequeueRequest, tickAdmission, tickRouter, updateRouter, waitingCount,
 	type AdmissionOptions, type AdmissionRefusal, type Choice, type Endpoint, type RouteTarget, type ShareAnswer, type ShareRequest,
 } from '@bitternpaddle/coordination';
 import {notRun} from '@bitternpaddle/state';
@@ -68,7 +68,7 @@
 		try {
 			const running = await requestLoad(address);
 			const nowMs = performance.now();
-			noteLoadReport(router, hostId, {running, ageMs: nowMs - requestedAtMs}, nowMs);
+			recordLoadReport(router, hostId, {running, ageMs: nowMs - requestedAtMs}, nowMs);
 		} catch {
 			// If the host is unreachable, the next request to it will fail and be recorded.
 		}
@@ -106,10 +106,10 @@
 			return;
 		}
 
-		const canDispatch = (): boolean => hasRoom(router, target) || !hasEndpoint(router, target);
+		const canDispatch = (): boolean => hasSpareSlots(router, target) || !hasEndpoint(router, target);
 		// At most one pass over the queue: a call that finds no free endpoint returns to it.
-		for (let remaining = waitingFor(admission, key); remaining > 0 && canDispatch(); remaining--) {
-			const {request, refused} = takeRequest(admission, key, performance.now());
+		for (let remaining = waitingCount(admission, key); remaining > 0 && canDispatch(); remaining--) {
+			const {request, refused} = dequeueRequest(admission, key, performance.now());
 			refuseAll(refused);
 			if (request === null) {
 				return;
@@ -193,7 +193,7 @@
 		setEntries(router, shares.entryIds(), nowMs);
 		for (const key of targets.keys()) {
 			dispatchQueued(key);
-			metrics?.gauge('entry.waiting', waitingFor(admission, key), {target: key});
+			metrics?.gauge('entry.waiting', waitingCount(admission, key), {target: key});
 		}
 	};
 
--- a/packages/daemon/src/entry/watch-for-crash.ts
+++ b/packages/daemon/src/entry/watch-for-crash.ts
@@ -15,7 +15,7 @@
 			yield part;
 		}
 	} catch (error) {
-		if (error instanceof BrokenAnswerError && answer.hasEndpointEnded()) {
+		if (error instanceof BrokenAnswerError && answer.didEndpointExit()) {
 			onEndpointExit(stage);
 		}
 
--- a/packages/daemon/src/host/configuration-client.ts
+++ b/packages/daemon/src/host/configuration-client.ts
@@ -1,6 +1,6 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {
-	compareWithPeer, createHostConfiguration, discardCopy, hasConfigurationLease, leaseLeftMs, leaseTimes, takeWatchResult, watchCallTimes,
+	compareWithPeer, createHostConfiguration, discardCopy, hasConfigurationLease, leaseLeftMs, leaseTimes, applyWatchResult, watchCallTimes,
 	type HostConfiguration, type HostTime, type PeerComparison, type WatchCallTimes,
 } from '@bitternpaddle/coordination';
 import {
@@ -37,11 +37,11 @@
 	/** Discards the configuration copy and fetches a new one; requests are refused until it has arrived. */
 	resync(): void;
 	/** Resolves to `true` once the host has `revision` or a later one, to `false` after `timeoutMs`. */
-	reach(revision: number, timeoutMs: number): Promise<boolean>;
+	waitForRevision(revision: number, timeoutMs: number): Promise<boolean>;
 	propose(command: Command): Promise<ProposeResult>;
 	query(show: Show): Promise<QueryResult>;
 	/** Reports on how many hosts a revision is in force. */
-	spread(revision: number): Promise<InForceResult>;
+	queryInForce(revision: number): Promise<InForceResult>;
 	/** Reports immediately instead of with the next renewal. */
 	reportNow(): Promise<void>;
 	close(): void;
@@ -74,7 +74,7 @@
 			},
 		});
 		recordReportKnown(result.type !== 'unknownHost');
-		const outcome = takeWatchResult(configuration, result, requestedAt);
+		const outcome = applyWatchResult(configuration, result, requestedAt);
 		if (outcome === 'diverged') {
 			logger.event('BP3006', {revision: result.type === 'unknownHost' ? 0 : result.revision});
 		} else if (outcome === 'advanced') {
@@ -115,7 +115,7 @@
 				logForeignSystem(error);
 				consecutiveFailures++;
 				selector.failOver();
-				await delay(leaseTimes.retryMs);
+				await delay(leaseTimes.retryDelayMs);
 			}
 
 			logLeaseLoss();
@@ -131,7 +131,7 @@
 		isCatchingUp = true;
 		try {
 			selector.failOver();
-			await renewOnce({holdMs: catchUpHoldMs, timeoutMs: catchUpHoldMs + leaseTimes.patientAnswerMs});
+			await renewOnce({holdMs: catchUpHoldMs, timeoutMs: catchUpHoldMs + leaseTimes.longResponseGraceMs});
 		} catch {
 			// The watch loop continues and tries the next control host.
 		} finally {
@@ -179,7 +179,7 @@
 				void catchUp();
 			}
 		},
-		async reach(revision, timeoutMs) {
+		async waitForRevision(revision, timeoutMs) {
 			if (configuration.catalog.revision >= revision) {
 				return true;
 			}
@@ -204,10 +204,10 @@
 			});
 		},
 		propose: async command => callAny('control.propose', {command}, 9000),
-		spread: async revision => callAny('control.inForce', {revision}, 5000),
+		queryInForce: async revision => callAny('control.inForce', {revision}, 5000),
 		query: async show => callAny('control.query', {show}, 5000),
 		async reportNow() {
-			await renewOnce({holdMs: 0, timeoutMs: leaseTimes.patientAnswerMs});
+			await renewOnce({holdMs: 0, timeoutMs: leaseTimes.longResponseGraceMs});
 		},
 		close() {
 			isClosed = true;
--- a/packages/daemon/src/host/failing-hosts.ts
+++ b/packages/daemon/src/host/failing-hosts.ts
@@ -1,6 +1,6 @@
 /** Hosts that do not respond to an entry. Reported to control, which compares the report with how long it has not received anything from the host itself. */
 export type FailingHosts = {
-	note(hostId: string, hasAnswered: boolean): void;
+	recordAttempt(hostId: string, hasAnswered: boolean): void;
 	list(): string[];
 };
 
@@ -11,7 +11,7 @@
 export const createFailingHosts = (now: () => number = () => performance.now()): FailingHosts => {
 	const failedAtMs = new Map<string, number>();
 	return {
-		note(hostId, hasAnswered) {
+		recordAttempt(hostId, hasAnswered) {
 			failedAtMs.delete(hostId);
 			if (!hasAnswered) {
 				failedAtMs.set(hostId, now());
--- a/packages/daemon/src/host/peers.ts
+++ b/packages/daemon/src/host/peers.ts
@@ -7,9 +7,9 @@
 	/** Headers with the configuration that this host acts on. */
 	headers(): Record<string, string | number>;
 	/** Processes the headers of a response; catches up or fetches the configuration again in the background. */
-	note(headers: http.IncomingHttpHeaders): void;
+	handleResponseHeaders(headers: http.IncomingHttpHeaders): void;
 	/** The reason why a request with `headers` may not be served from this host's configuration copy, or `null`; first tries to catch up. */
-	meet(headers: http.IncomingHttpHeaders, timeoutMs: number): Promise<string | null>;
+	checkRequestHeaders(headers: http.IncomingHttpHeaders, timeoutMs: number): Promise<string | null>;
 };
 
 /** How long the watch may take to deliver a revision before another control host is polled. */
@@ -29,12 +29,12 @@
  */
 export const createPeers = (configuration: ConfigurationClient): Peers => {
 	const catchUpTo = async (revision: number, timeoutMs: number): Promise<boolean> => {
-		if (await configuration.reach(revision, watchGraceMs)) {
+		if (await configuration.waitForRevision(revision, watchGraceMs)) {
 			return true;
 		}
 
 		configuration.catchUp();
-		return configuration.reach(revision, timeoutMs - watchGraceMs);
+		return configuration.waitForRevision(revision, timeoutMs - watchGraceMs);
 	};
 
 	return {
@@ -42,7 +42,7 @@
 			const {revision, digest} = configuration.inForce();
 			return {[revisionHeader]: revision, [configurationDigestHeader]: digest};
 		},
-		note(headers) {
+		handleResponseHeaders(headers) {
 			const peer = parsePeer(headers);
 			const comparison = configuration.compare(peer);
 			if (comparison === 'behind') {
@@ -51,7 +51,7 @@
 				configuration.resync();
 			}
 		},
-		async meet(headers, timeoutMs) {
+		async checkRequestHeaders(headers, timeoutMs) {
 			const peer = parsePeer(headers);
 			if (configuration.compare(peer) === 'behind' && !await catchUpTo(peer.revision, timeoutMs)) {
 				return 'the host has not received the configuration revision of the request';
--- a/packages/daemon/src/report/burn-html.ts
+++ b/packages/daemon/src/report/burn-html.ts
@@ -1,5 +1,5 @@
 import {
-	burnRateOf, floorTo, hourMs, keptHours, oldestStartMs, type BurnPoint, type BurnReport, type BurnRow, type ObjectiveBurn,
+	burnRateOf, floorTo, hourMs, retainedHours, oldestStartMs, type BurnPoint, type BurnReport, type BurnRow, type ObjectiveBurn,
 } from '@bitternpaddle/coordination';
 import {burnPageStyle} from './burn-page-style.js';
 import {formatPercent, formatRate, objectiveText} from './burn-text.js';
@@ -40,8 +40,8 @@
 /** Every hour of the three days, with its point if any request was counted. */
 const hourlyPoints = (row: BurnRow, nowMs: number): Array<{startMs: number; point: BurnPoint | undefined}> => {
 	const points = new Map(row.points.map(point => [floorTo(point.startMs, hourMs), point]));
-	const oldestMs = oldestStartMs(nowMs, hourMs, keptHours);
-	return Array.from({length: keptHours}, (_, index) => {
+	const oldestMs = oldestStartMs(nowMs, hourMs, retainedHours);
+	return Array.from({length: retainedHours}, (_, index) => {
 		const startMs = oldestMs + (index * hourMs);
 		return {startMs, point: points.get(startMs)};
 	});
--- a/packages/daemon/test/burn-page.test.ts
+++ b/packages/daemon/test/burn-page.test.ts
@@ -13,7 +13,7 @@
 	for (let hour = 9; hour >= 0; hour--) {
 		for (let index = 0; index < 100; index++) {
 			countSample(counter, {
-				serviceId: 'bp-writers', teamId: '<b>marshals</b>', atMs: nowMs - (hour * hourMs), isWhole: hour > 0 || index >= 2, firstTokenMs: 120, firstTokenBoundMs: 1000,
+				serviceId: 'bp-writers', teamId: '<b>marshals</b>', atMs: nowMs - (hour * hourMs), isComplete: hour > 0 || index >= 2, firstTokenMs: 120, firstTokenBoundMs: 1000,
 			});
 		}
 	}
--- a/packages/daemon/test/dispatch.test.ts
+++ b/packages/daemon/test/dispatch.test.ts
@@ -3,7 +3,7 @@
 import type http from 'node:http';
 import {setTimeout as delay} from 'node:timers/promises';
 import {
-	endMarkerTrailer, requestIdHeader, verdictHeader, type EndMarker, type SettleResult,
+	endMarkerTrailer, requestIdHeader, verdictHeader, type EndMarker, type AttemptResolution,
 } from '@bitternpaddle/protocol';
 import {
 	createHttpServer, createRpcServer, readBody, rpcPath,
@@ -29,7 +29,7 @@
 };
 
 /** A request gate whose answers are written by the test. */
-const createFakeGate = async (t: Test, settleResult: SettleResult['type'], handlers: {first: Handler; resume?: Handler}): Promise<FakeGate> => {
+const createFakeGate = async (t: Test, settleResult: AttemptResolution['type'], handlers: {first: Handler; resume?: Handler}): Promise<FakeGate> => {
 	const calls: string[] = [];
 	const connections = new Set<unknown>();
 	const rpc = createRpcServer();
--- a/packages/daemon/test/rpc-packing.test.ts
+++ b/packages/daemon/test/rpc-packing.test.ts
@@ -30,7 +30,7 @@
 t.test('long calls and responses are compressed, short ones are not', async t => {
 	const {address, lengths} = await start(t);
 	t.same(await callRpc({
-		address, method: 'echo', params: {text: routes}, isPacked: true, timeoutMs: 5000,
+		address, method: 'echo', params: {text: routes}, isCompressed: true, timeoutMs: 5000,
 	}), {text: routes});
 	t.ok(lengths[0]! < routes.length / 5, `${routes.length} characters in ${lengths[0]} bytes`);
 	await callRpc({
@@ -38,7 +38,7 @@
 	});
 	t.ok(lengths[1]! > routes.length, 'without the option, calls and responses are plain text');
 	t.same(await callRpc({
-		address, method: 'echo', params: {text: 'short'}, isPacked: true, timeoutMs: 5000,
+		address, method: 'echo', params: {text: 'short'}, isCompressed: true, timeoutMs: 5000,
 	}), {text: 'short'});
 });
 
--- a/packages/daemon/test/transfer.test.ts
+++ b/packages/daemon/test/transfer.test.ts
@@ -48,7 +48,7 @@
 const waitUntilComplete = async (t: Test, hosts: readonly MeshHost[], version: MeshVersion): Promise<void> => {
 	await waitUntil('all hosts have all chunks', () => hosts.every(host => host.stores.get(version.manifestId)?.isComplete() === true));
 	for (const host of hosts) {
-		t.ok(await host.stores.get(version.manifestId)!.verifyWhole(), `${host.peer.hostId} has the right bytes`);
+		t.ok(await host.stores.get(version.manifestId)!.verifyComplete(), `${host.peer.hostId} has the right bytes`);
 	}
 };
 
--- a/packages/gateway/src/agent/agent-node.ts
+++ b/packages/gateway/src/agent/agent-node.ts
@@ -3,7 +3,7 @@
 import {
 	chunksPrefix, createUploadServer, retryAfterMsHeader, type TransferPeer,
 } from '@bitternpaddle/daemon/transfer';
-import {haveParametersSchema} from '@bitternpaddle/protocol';
+import {chunkAnnouncementSchema} from '@bitternpaddle/protocol';
 import {
 	callRpc, createHttpServer, createRpcServer, rpcPath, sendJson, type Logger,
 } from '@bitternpaddle/transport';
@@ -221,10 +221,10 @@
 		wantsConfiguration: () => configuration.number() === -1 || performance.now() - configurationReceivedAtMs > configurationIntervalMs,
 		onConfiguration(document) {
 			configurationReceivedAtMs = performance.now();
-			configuration.take(document);
+			configuration.applyIfNewer(document);
 		},
 		onResult(result) {
-			versions.hear(result, performance.now());
+			versions.recordResult(result, performance.now());
 			if (result.roster !== null) {
 				({roster} = result);
 				entries = roster.followers.filter(({role}) => role === 'entry');
@@ -234,10 +234,10 @@
 	});
 
 	const rpc = createRpcServer();
-	rpc.method('agent.have', haveParametersSchema, parameters => {
+	rpc.method('agent.have', chunkAnnouncementSchema, parameters => {
 		exchange.receiveHave(parameters);
 	});
-	const serveUpload = createUploadServer({links, pieceBytes: uploadPieceBytes, readChunk: async (manifestId, chunk) => exchange.readChunk(manifestId, chunk)});
+	const serveUpload = createUploadServer({links, maxWriteBytes: uploadPieceBytes, readChunk: async (manifestId, chunk) => exchange.readChunk(manifestId, chunk)});
 	const server = await createHttpServer({
 		listen: selfAddress,
 		async handler(request, response) {
--- a/packages/gateway/src/agent/paced-links.ts
+++ b/packages/gateway/src/agent/paced-links.ts
@@ -1,6 +1,6 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {
-	createLinkBudget, createSourceRests, createUploads, takeFromBudget, type LinkBudget,
+	createLinkBudget, createSourceBackoffs, createUploads, takeFromBudget, type LinkBudget,
 } from '@bitternpaddle/coordination';
 import type {TransferLinks} from '@bitternpaddle/daemon/transfer';
 
@@ -25,9 +25,9 @@
 
 	return {
 		uploads: createUploads(),
-		rests: createSourceRests(false),
-		takeIn: async (sizeBytes, signal) => consume(incoming, sizeBytes, signal),
-		takeOut: async (sizeBytes, signal) => consume(outgoing, sizeBytes, signal),
+		backoffs: createSourceBackoffs(false),
+		throttleIncoming: async (sizeBytes, signal) => consume(incoming, sizeBytes, signal),
+		throttleOutgoing: async (sizeBytes, signal) => consume(outgoing, sizeBytes, signal),
 		share,
 		close: () => undefined,
 	};
--- a/packages/gateway/src/agent/weight-exchange.ts
+++ b/packages/gateway/src/agent/weight-exchange.ts
@@ -2,9 +2,9 @@
 	createTransfer, type FetchOutcome, type Transfer, type TransferCounters, type TransferLinks, type TransferPeer,
 } from '@bitternpaddle/daemon/transfer';
 import {
-	createLinkStrain, createStandstill, hasStoodStill, isStrained, lookAtClock, noteFetch, standstillLookMs, strainRestMs, type ChunkSource, type NearDrawers,
+	createLinkStrain, createProcessStall, hasStalled, isStrained, checkClock, recordFetch, stallCheckIntervalMs, strainBackoffMs, type ChunkSource, type NearOriginFetchers,
 } from '@bitternpaddle/coordination';
-import type {HaveParameters} from '@bitternpaddle/protocol';
+import type {ChunkAnnouncement} from '@bitternpaddle/protocol';
 import type {Logger} from '@bitternpaddle/transport';
 import {createDigestSource} from './digest-source.js';
 import type {EngineClient, OriginClient} from './engine-client.js';
@@ -34,7 +34,7 @@
 export type WeightExchange = {
 	/** Starts the exchange of a version and stops that of the previous one; `null` while its digests are unavailable. An unconfirmed version is not fetched; its staged chunks are only read back. */
 	open(goal: LoadGoal): Promise<StagedWeights | null>;
-	receiveHave(parameters: HaveParameters): void;
+	receiveHave(parameters: ChunkAnnouncement): void;
 	changePeers(): void;
 	/** Whether the host exchanges no chunks for now because its link is too congested to carry them along with the engine's traffic. */
 	isBackingOff(): boolean;
@@ -72,21 +72,21 @@
 const originRefetchMs = ({profile: {chunks, chunkBytes}, origin: {linkMbps}}: LoadGoal): number => Math.max(minRefetchMs, originCopyFactor * chunks * chunkBytes * bitsPerByte / (linkMbps * 1000));
 
 /** Lets the hosts in the origin's zone fetch from it, provided enough of them to use its full bandwidth. */
-const nearOriginFetchers = ({origin: {zoneId, linkMbps}}: LoadGoal, linkBytesPerSecond: number): NearDrawers | null => zoneId === null
+const nearOriginFetchers = ({origin: {zoneId, linkMbps}}: LoadGoal, linkBytesPerSecond: number): NearOriginFetchers | null => zoneId === null
 	? null
-	: {zoneId, least: Math.ceil(linkMbps * bitsPerMegabit / (linkBytesPerSecond * bitsPerByte))};
+	: {zoneId, minHosts: Math.ceil(linkMbps * bitsPerMegabit / (linkBytesPerSecond * bitsPerByte))};
 
 const originBackoffMs = 150;
 export const createWeightExchange = (options: WeightExchangeOptions): WeightExchange => {
 	const {selfAddress, zoneId, regionId, engine, origin, links, logger, peers} = options;
 	const counters: TransferCounters = {originBytes: 0, peerBytes: 0, lastFailure: ''};
 	const linkStrain = createLinkStrain();
-	const processStall = createStandstill(performance.now());
+	const processStall = createProcessStall(performance.now());
 	const stallCheckTimer = setInterval(() => {
-		if (lookAtClock(processStall, performance.now())) {
+		if (checkClock(processStall, performance.now())) {
 			restartTransfer();
 		}
-	}, standstillLookMs);
+	}, stallCheckIntervalMs);
 	let currentWeights: OpenWeights | null = null;
 	let transfer: Transfer | null = null;
 	let activeFetch: ActiveFetch | null = null;
@@ -116,12 +116,12 @@
 	 */
 	const recordFetchDuration = (source: ChunkSource, tookMs: number, {profile: {chunkBytes}}: LoadGoal): void => {
 		const nowMs = performance.now();
-		if (hasStoodStill(processStall, nowMs - tookMs, nowMs)) {
+		if (hasStalled(processStall, nowMs - tookMs, nowMs)) {
 			return;
 		}
 
 		const slowMs = slowFetchFactor * maxFetches * chunkBytes * 1000 / options.linkBytesPerSecond;
-		if (noteFetch(linkStrain, source.type === 'peer' ? source.hostId : 'origin', tookMs > slowMs, nowMs)) {
+		if (recordFetch(linkStrain, source.type === 'peer' ? source.hostId : 'origin', tookMs > slowMs, nowMs)) {
 			logger.event('BP4038', {tookMs: Math.round(tookMs), slowMs: Math.round(slowMs)});
 		}
 	};
@@ -156,14 +156,14 @@
 		store: opened.weights, self: {hostId: selfAddress, zoneId, regionId}, selfAddress: () => selfAddress,
 		sources: {origin: goal.origin.address, store: null}, originCopies: 1, peers: peers(), links, counters, logger, tickMs,
 		swarm: {
-			takeoverMs, importWaitMs, maxFetches, maxFetchesPerPeer: 1, greetingWaitMs, redrawMs: originRefetchMs(goal), nearDrawers: nearOriginFetchers(goal, options.linkBytesPerSecond),
+			takeoverMs, importWaitMs, maxFetches, maxFetchesPerPeer: 1, greetingWaitMs, refetchMs: originRefetchMs(goal), nearOriginFetchers: nearOriginFetchers(goal, options.linkBytesPerSecond),
 		},
 		fetchFromOrigin: fetchFromOrigin(goal),
 		onFetched(source, tookMs) {
 			opened.progressAtMs = performance.now();
 			recordFetchDuration(source, tookMs, goal);
 		},
-		restMs: () => strainRestMs(linkStrain, performance.now()),
+		fetchPauseMs: () => strainBackoffMs(linkStrain, performance.now()),
 		onComplete() {
 			logger.event('BP4031', {version: goal.version, originBytes: counters.originBytes, peerBytes: counters.peerBytes});
 		},
@@ -192,13 +192,13 @@
 		},
 		receiveHave(parameters) {
 			if (parameters.manifestId === currentWeights?.weights.manifestId) {
-				transfer?.hear(parameters);
+				transfer?.receiveAnnouncement(parameters);
 			}
 		},
 		changePeers() {
 			transfer?.changePeers(peers());
 		},
-		isBackingOff: () => strainRestMs(linkStrain, performance.now()) > 0,
+		isBackingOff: () => strainBackoffMs(linkStrain, performance.now()) > 0,
 		isStrained: () => isStrained(linkStrain, performance.now()),
 		missingChunks() {
 			if (currentWeights === null) {
@@ -207,7 +207,7 @@
 
 			const {weights, progressAtMs} = currentWeights;
 			const missing = weights.manifest.chunkDigests.length - weights.heldChunks().length;
-			const isStalled = performance.now() - progressAtMs > fetchStallMs || transfer?.isRestInReach() === false;
+			const isStalled = performance.now() - progressAtMs > fetchStallMs || transfer?.canComplete() === false;
 			return missing > 0 && isStalled ? null : missing;
 		},
 		readChunk: (manifestId, chunk) => manifestId === currentWeights?.weights.manifestId ? currentWeights.weights.read(chunk) : null,
--- a/packages/gateway/src/core/core-node.ts
+++ b/packages/gateway/src/core/core-node.ts
@@ -1,6 +1,6 @@
 import {randomUUID} from 'node:crypto';
 import {
-	announcedSince, createRegistry, hearAnnounced, isLaterStart, pruneRegistry, withdraw, type Announcement, type Clock,
+	announcementsSince, createRegistry, recordAnnouncement, isLaterStart, pruneRegistry, withdraw, type Announcement, type Clock,
 } from '@bitternpaddle/coordination';
 import {consensusEnvelopesSchema, rpcErrorCodes, standbyParametersSchema} from '@bitternpaddle/protocol';
 import type {Document} from '@bitternpaddle/state';
@@ -28,7 +28,7 @@
 	readonly isFirstStart: boolean;
 	seeds(): readonly string[];
 	/** Number of core hosts that may fail at the same time. */
-	readonly lossesBorne: number;
+	readonly toleratedLosses: number;
 	readonly clock: Clock;
 	readonly logger: Logger;
 };
@@ -67,7 +67,7 @@
 /** One core host: its replica of the document log, the endpoint announcements and its followers. */
 export const createCoreNode = async (options: CoreNodeOptions): Promise<CoreNode> => {
 	const {
-		selfAddress, zoneId, regionId, folder, isFirstStart, seeds, lossesBorne, clock, logger,
+		selfAddress, zoneId, regionId, folder, isFirstStart, seeds, toleratedLosses: lossesBorne, clock, logger,
 	} = options;
 	const epoch = randomUUID();
 	const self: Follower = {
@@ -127,7 +127,7 @@
 		return {
 			epoch, position: registry.position,
 			zoneId,
-			announcements: parameters.follower.role === 'agent' ? [] : announcedSince(registry, parameters.epoch === epoch ? parameters.position : 0, nowMs),
+			announcements: parameters.follower.role === 'agent' ? [] : announcementsSince(registry, parameters.epoch === epoch ? parameters.position : 0, nowMs),
 			configurationNumber: configurationNumber(), versionsHash: versionsHash(),
 			freshAgeMs: log.freshAgeMs(),
 			versions: [...versionsLearnedAtMs].map(([model, {version, atMs}]) => ({model, version, ageMs: nowMs - atMs})),
@@ -219,7 +219,7 @@
 		onResult(result) {
 			let hasUpdate = false;
 			for (const announcement of result.announcements) {
-				hasUpdate = hearAnnounced(registry, announcement, steadyNowMs(), 'host') || hasUpdate;
+				hasUpdate = recordAnnouncement(registry, announcement, steadyNowMs(), 'host') || hasUpdate;
 			}
 
 			if (hasUpdate) {
@@ -254,7 +254,7 @@
 			try {
 				const outcome = await callLeader(async () => submitLocally(document), async address => {
 					const response = await callRpc<unknown>({
-						address, method: 'gateway.submit', params: {document}, isPacked: true, timeoutMs: forwardTimeoutMs,
+						address, method: 'gateway.submit', params: {document}, isCompressed: true, timeoutMs: forwardTimeoutMs,
 					});
 					return submitResultSchema.parse(response).outcome;
 				});
@@ -269,7 +269,7 @@
 			try {
 				const text = await callLeader(readLocally, async address => {
 					const response = await callRpc<unknown>({
-						address, method: 'gateway.read', params: {}, isPacked: true, timeoutMs: forwardTimeoutMs,
+						address, method: 'gateway.read', params: {}, isCompressed: true, timeoutMs: forwardTimeoutMs,
 					});
 					return readResultSchema.parse(response).text;
 				});
@@ -280,7 +280,7 @@
 		},
 		announce(announcement) {
 			const known = registry.entries.get(announcement.id)?.announcement;
-			const isAccepted = hearAnnounced(registry, {...announcement, ageMs: 0}, steadyNowMs());
+			const isAccepted = recordAnnouncement(registry, {...announcement, ageMs: 0}, steadyNowMs());
 			if (isAccepted && (known?.state !== announcement.state || isLaterStart(known, announcement))) {
 				logger.event('BP4009', {
 					endpointId: announcement.id, address: announcement.address, state: announcement.state, startedAtMs: announcement.startedAtMs, sequence: announcement.sequence,
--- a/packages/gateway/src/core/document-log.ts
+++ b/packages/gateway/src/core/document-log.ts
@@ -1,9 +1,9 @@
 import {randomInt} from 'node:crypto';
 import {
-	hasDisk, hasLeaderLease, hostOfMember, quorumHeardAtMs, type Clock,
+	hasDisk, hasLeaderLease, hostOfMember, quorumConfirmedAtMs, type Clock,
 } from '@bitternpaddle/coordination';
 import {
-	createConsensusDriver, createLogProposals, createPeerSender, createVoterRepair, handOver, repairMs, type ConsensusDriver, type VoterRepair,
+	createConsensusDriver, createLogProposals, createPeerSender, createVoterRepair, handOverLeadership, repairIntervalMs, type ConsensusDriver, type VoterRepair,
 } from '@bitternpaddle/daemon/consensus';
 import type {ConsensusEnvelope} from '@bitternpaddle/protocol';
 import {
@@ -172,7 +172,7 @@
 	await open().catch(onFailure);
 	const repairTimer = setInterval(() => {
 		openLog?.repair.run();
-	}, repairMs);
+	}, repairIntervalMs);
 
 	const memberIds = (): string[] => {
 		const {voters, learners} = openLog?.driver.state.members ?? {voters: [], learners: []};
@@ -205,7 +205,7 @@
 			const nowMs = clock.nowMs();
 			const {state: consensus} = openLog.driver;
 			if (consensus.role === 'leader') {
-				return hasLeaderLease(consensus, nowMs) ? Math.max(0, nowMs - quorumHeardAtMs(consensus, nowMs)) : null;
+				return hasLeaderLease(consensus, nowMs) ? Math.max(0, nowMs - quorumConfirmedAtMs(consensus, nowMs)) : null;
 			}
 
 			const ageMs = nowMs - consensus.contactAtMs;
@@ -215,11 +215,11 @@
 			openLog?.driver.receive(envelope);
 		},
 		recordStandby(memberId) {
-			openLog?.repair.hear(memberId);
+			openLog?.repair.recordAnnouncement(memberId);
 		},
 		async leave() {
 			if (openLog !== null) {
-				await handOver({driver: openLog.driver});
+				await handOverLeadership({driver: openLog.driver});
 			}
 		},
 		async close() {
--- a/packages/gateway/src/entry/call-context.ts
+++ b/packages/gateway/src/entry/call-context.ts
@@ -1,5 +1,5 @@
 import type {
-	ArrivalRate, ObjectiveMix, Random, RetryAllowance, SpareRoom, VersionDue,
+	ArrivalRate, ObjectiveMix, Random, RetryAllowance, SpareCapacity, VersionDue,
 } from '@bitternpaddle/coordination';
 import type {Logger} from '@bitternpaddle/transport';
 import type {EndpointLimits} from '../limits/endpoint-limits.js';
@@ -28,7 +28,7 @@
 	/** Latency objectives of the recent requests to a service. */
 	objectives(serviceName: string): ObjectiveMix;
 	/** When engines of a service last had a spare slot. */
-	spareCapacity(serviceName: string): SpareRoom;
+	spareCapacity(serviceName: string): SpareCapacity;
 	/** Number of serving entries, including this one. */
 	entryCount(): number;
 	/** This entry's part of the retry reserve that all entries share. */
--- a/packages/gateway/src/entry/call-headers.ts
+++ b/packages/gateway/src/entry/call-headers.ts
@@ -1,6 +1,6 @@
 import type http from 'node:http';
 import {
-	readMs, strictestObjectiveMs, urgencyOf, versionOf, type Candidate, type VersionDue,
+	prefillMs, strictestObjectiveMs, urgencyOf, versionOf, type Candidate, type VersionDue,
 } from '@bitternpaddle/coordination';
 import type {EngineProfile} from '@bitternpaddle/state';
 import type {CallContext} from './call-context.js';
@@ -14,8 +14,8 @@
 const callUrgency = ({objectives, nowMs}: CallContext, call: Call, profile: EngineProfile): number => {
 	const {route, team, service, hasComeBack, promptTokens} = call;
 	return urgencyOf({
-		priority: team?.priority ?? route.priority, hasComeBack, objectiveMs: route.objectiveMs, ownReadMs: readMs(profile, promptTokens),
-		usualSlackMs: strictestObjectiveMs(objectives(service.name), nowMs()) - readMs(profile, profile.usualPromptTokens),
+		priority: team?.priority ?? route.priority, hasComeBack, objectiveMs: route.objectiveMs, promptPrefillMs: prefillMs(profile, promptTokens),
+		usualSlackMs: strictestObjectiveMs(objectives(service.name), nowMs()) - prefillMs(profile, profile.usualPromptTokens),
 	});
 };
 
--- a/packages/gateway/src/entry/endpoint-view.ts
+++ b/packages/gateway/src/entry/endpoint-view.ts
@@ -1,5 +1,5 @@
 import {
-	createEndpointHealth, createEndpointLoad, createRegistry, hasFreshReport, hearAnnounced, isLaterStart, notePath, pruneRegistry, withdraw,
+	createEndpointHealth, createEndpointLoad, createRegistry, hasFreshReport, recordAnnouncement, isLaterStart, recordPathDelay, pruneRegistry, withdraw,
 	type AgedAnnouncement, type Announcement, type Candidate,
 } from '@bitternpaddle/coordination';
 import type {LoadReport} from '../load/load-report.js';
@@ -88,7 +88,7 @@
 			return;
 		}
 
-		const {announcement, heardAtMs} = entry;
+		const {announcement, receivedAtMs: heardAtMs} = entry;
 		const known = tracked.get(id);
 		if (announcement.state === 'gone') {
 			if (known !== undefined) {
@@ -135,16 +135,16 @@
 	return {
 		recordAnnouncements(announcements, nowMs) {
 			for (const announcement of announcements) {
-				if (hearAnnounced(registry, announcement, nowMs)) {
+				if (recordAnnouncement(registry, announcement, nowMs)) {
 					updateEndpoint(announcement.id);
 				}
 			}
 		},
-		recordReport({endpointAddress, report, way}, nowMs) {
+		recordReport({endpointAddress, report, delivery: way}, nowMs) {
 			for (const endpoint of current().byAddress.get(endpointAddress) ?? noEndpoints) {
 				const {load} = endpoint;
 				if (way.type === 'direct') {
-					notePath(load.path, way.sentAtMs, nowMs);
+					recordPathDelay(load.path, way.sentAtMs, nowMs);
 				} else {
 					load.path.delayMs = way.delayMs;
 				}
--- a/packages/gateway/src/entry/entry-node.ts
+++ b/packages/gateway/src/entry/entry-node.ts
@@ -1,6 +1,6 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {
-	createArrivalRate, createCallerPatience, createObjectiveMix, createRandom, createRetryAllowance, createSpareRoom, type Clock,
+	createArrivalRate, createFirstAttemptDeadlines, createObjectiveMix, createRandom, createRetryAllowance, createSpareCapacity, type Clock,
 } from '@bitternpaddle/coordination';
 import {createHttpServer, type Logger} from '@bitternpaddle/transport';
 import {createCoreClient} from '../link/core-client.js';
@@ -110,10 +110,10 @@
 	const connections = createEndpointConnections();
 	const waitQueue = createWaitQueue();
 	const versions = createWantedVersions({dueMs: bounds.versionDueMs, startedAtMs: steadyNowMs()});
-	const patience = createLazyMap(createCallerPatience);
+	const patience = createLazyMap(createFirstAttemptDeadlines);
 	const sendRate = createLazyMap(createArrivalRate);
 	const objectives = createLazyMap(createObjectiveMix);
-	const spareCapacity = createLazyMap(createSpareRoom);
+	const spareCapacity = createLazyMap(createSpareCapacity);
 	const allowance = createLazyMap(() => createRetryAllowance({windowMs: bounds.retryWindowMs, share: bounds.retryShare}));
 	let entryCount = 1;
 	let relayPlan: RelayPlan = noRelay;
@@ -171,13 +171,13 @@
 	const client = createCoreClient({
 		self, seeds, clock, logger, configurationNumber: configuration.number, wantsConfiguration: () => true,
 		onConfiguration(document) {
-			configuration.take(document);
+			configuration.applyIfNewer(document);
 			lease.applyRenewals();
 		},
 		onResult(result, askedAtMs) {
 			const nowMs = steadyNowMs();
 			view.recordAnnouncements(result.announcements, nowMs);
-			versions.hear(result, nowMs);
+			versions.recordResult(result, nowMs);
 			if (result.roster !== null) {
 				entryCount = Math.max(1, result.roster.entryCount);
 				relayPlan = planRelay(self, result.roster.followers);
--- a/packages/gateway/src/entry/find-endpoint.ts
+++ b/packages/gateway/src/entry/find-endpoint.ts
@@ -1,5 +1,5 @@
 import {
-	nextStep, preferredLimited, type NextStep, type Placement, type SeekingRequest, type ServiceDemand, type Surroundings, type WaitReason,
+	nextStep, preferredLimited, type NextStep, type Placement, type UnplacedRequest, type ServiceDemand, type PlacementContext, type WaitReason,
 } from '@bitternpaddle/coordination';
 import type {CallContext} from './call-context.js';
 import {versionDuesOf} from './call-headers.js';
@@ -68,17 +68,17 @@
 	return call.isKeyInForce() ? null : {reason: 'the key is no longer in force', retryAfterMs: revokedRetryMs};
 };
 
-const selectNextStep = (context: CallContext, call: Call, seeking: SeekingRequest): NextStep => {
+const selectNextStep = (context: CallContext, call: Call, seeking: UnplacedRequest): NextStep => {
 	const {name, engine: profile} = call.service;
 	const {limits, waitQueue, random} = context;
 	const nowMs = context.nowMs();
 	const demand: ServiceDemand = {
-		sending: context.sendRate(name), objectives: context.objectives(name), spareRoom: context.spareCapacity(name),
+		sendRate: context.sendRate(name), objectives: context.objectives(name), spareCapacity: context.spareCapacity(name),
 		heldCount: waitQueue.waitingCount(name, 'engines'), queuedCount: waitQueue.waitingCount(name, 'availability'),
 	};
-	const surroundings: Surroundings = {
+	const surroundings: PlacementContext = {
 		candidates: context.view.candidates(name, nowMs), permitStateOf: ({announcement}) => limits.stateOf(announcement), profile, zoneId: context.zoneId,
-		entryCount: context.entryCount(), dues: versionDuesOf(context, call), leftMs: context.remainingGraceMs(), random, nowMs,
+		entryCount: context.entryCount(), dues: versionDuesOf(context, call), shutdownInMs: context.remainingGraceMs(), random, nowMs,
 	};
 	const preferred = limits.hasLimits() ? preferredLimited(demand, surroundings, seeking) : null;
 	if (preferred !== null) {
@@ -90,7 +90,7 @@
 
 /** What a request waits for; counts it among the waiting requests. */
 type Wait = {
-	seeking(): SeekingRequest;
+	seeking(): UnplacedRequest;
 	/** Continues to wait, for `reason`. */
 	continueFor(reason: WaitReason): void;
 	end(): void;
@@ -99,9 +99,9 @@
 const createWait = (context: CallContext, call: Call, progress: CallProgress): Wait => {
 	const {service: {name}, route} = call;
 	let leave: (() => void) | null = null;
-	let seeking: SeekingRequest = {
+	let seeking: UnplacedRequest = {
 		isLastTry: call.hasComeBack, deadlineAtMs: call.deadlineAtMs, retryClass: route.retryClass, objectiveMs: route.objectiveMs, timeoutMs: route.timeoutMs,
-		promptTokens: call.promptTokens, mostAnswerTokens: call.answerTokenLimit, receivedAtMs: call.receivedAtMs, sinceMs: context.nowMs(),
+		promptTokens: call.promptTokens, maxAnswerTokens: call.answerTokenLimit, receivedAtMs: call.receivedAtMs, sinceMs: context.nowMs(),
 		isBegun: progress.hasEvents, sentCount: progress.sent, triedIds: progress.triedIds, waitsFor: null,
 	};
 
--- a/packages/gateway/src/entry/handle-attempt-result.ts
+++ b/packages/gateway/src/entry/judge-attempt.ts
@@ -1,6 +1,6 @@
 import type {Buffer} from 'node:buffer';
 import {
-	hasFreshReport, noteFailure, noteNoConnection, noteSuccess, takeAttempt, type Candidate, type Placement,
+	hasFreshReport, recordFailure, recordConnectionFailure, recordSuccess, takeAttempt, type Candidate, type Placement,
 } from '@bitternpaddle/coordination';
 import type {AnswerHead, AttemptResult, FailureCause} from './attempt.js';
 import type {CallContext} from './call-context.js';
@@ -19,7 +19,7 @@
 	switch (result.type) {
 		case 'streamed': {
 			context.quarantine.recordCompletion(call);
-			noteSuccess(candidate.health);
+			recordSuccess(candidate.health);
 			finishStream(context, call, progress, result.head);
 			return true;
 		}
@@ -40,7 +40,7 @@
 			progress.unreachable++;
 			progress.lastReason = result.reason;
 			logAttemptFailure(context, call, candidate, result.reason);
-			noteNoConnection(candidate.health, context.nowMs());
+			recordConnectionFailure(candidate.health, context.nowMs());
 			if (result.isRefused) {
 				context.quarantine.recordExit(candidate.announcement.address);
 			}
@@ -113,7 +113,7 @@
 			return true;
 		}
 	} else {
-		noteSuccess(candidate.health);
+		recordSuccess(candidate.health);
 	}
 
 	forwardAnswer(context, call, head, body);
@@ -125,7 +125,7 @@
 		// Another start of the endpoint runs there, or another weight version than its host last reported.
 		load.reportedAtMs = Number.NEGATIVE_INFINITY;
 		if (hasRequestedVersion) {
-			noteNoConnection(health, nowMs());
+			recordConnectionFailure(health, nowMs());
 		} else {
 			view.markReplaced(announcement.id);
 		}
@@ -134,7 +134,7 @@
 	}
 
 	// The endpoint is full, whatever its last report was.
-	load.told = {active: announcement.slots * 2, atMs: nowMs()};
+	load.advertisedLoad = {active: announcement.slots * 2, atMs: nowMs()};
 };
 
 const logAttemptFailure = ({logger}: CallContext, call: Call, {announcement}: Candidate, reason: string, cause: FailureCause | null = null): void => {
@@ -153,8 +153,8 @@
 
 	const others = view.candidates(service.name, now).filter(other => other !== candidate);
 	const usualShare = others.length === 0 ? 1 : others.reduce((sum, {health}) => sum + health.failureShare, 0) / others.length;
-	if (noteFailure(candidate.health, usualShare, now)) {
-		logger.event('BP4026', {endpointId: candidate.announcement.id, untilMs: Math.round(candidate.health.restUntilMs - now)});
+	if (recordFailure(candidate.health, usualShare, now)) {
+		logger.event('BP4026', {endpointId: candidate.announcement.id, untilMs: Math.round(candidate.health.backoffUntilMs - now)});
 	}
 };
 
--- a/packages/gateway/src/entry/run-call.ts
+++ b/packages/gateway/src/entry/run-call.ts
@@ -1,5 +1,5 @@
 import {
-	beginWithinMs, noteArrival, noteLag, noteObjective, notePause, noteRequest, type Candidate, type EndpointLoad, type PauseNotice, type Placement,
+	startWithinMs, recordArrival, recordLag, recordObjective, recordPause, recordRequest, type Candidate, type EndpointLoad, type PauseNotice, type Placement,
 } from '@bitternpaddle/coordination';
 import {sendAttempt, type AnswerHead, type AttemptResult} from './attempt.js';
 import {attemptLimits} from './attempt-limits.js';
@@ -9,14 +9,14 @@
 import {findEndpoint} from './find-endpoint.js';
 import {forwardEvents} from './finish-call.js';
 import {isIdempotent, type Call} from './gateway-call.js';
-import {handleAttemptResult} from './handle-attempt-result.js';
+import {handleAttemptResult} from './judge-attempt.js';
 
 /** Sends a request to endpoints until one answers or no further attempt is allowed, and sends the caller its answer. */
 export const runCall = async (context: CallContext, call: Call): Promise<void> => {
 	const {nowMs} = context;
 	const progress = createCallProgress();
-	noteRequest(context.allowance(call.service.name), nowMs());
-	noteObjective(context.objectives(call.service.name), call.route.objectiveMs, nowMs());
+	recordRequest(context.allowance(call.service.name), nowMs());
+	recordObjective(context.objectives(call.service.name), call.route.objectiveMs, nowMs());
 	const unwatch = context.quarantine.watch(call, () => {
 		// An answer that has started continues: its outcome clears the request or confirms the verdict.
 		if (!call.response.headersSent) {
@@ -54,7 +54,7 @@
 	const key = nextAwaitedKey();
 	const engineVersion = loadedVersion(context, call, candidate);
 	progress.triedIds.add(announcement.id);
-	noteArrival(context.sendRate(service.name), startedAtMs);
+	recordArrival(context.sendRate(service.name), startedAtMs);
 	load.outstanding++;
 	load.awaiting.set(key, {promptTokens: call.promptTokens, sentAtMs: startedAtMs, expectedMs});
 	logger.event('BP4023', {
@@ -67,7 +67,7 @@
 		headers: endpointHeaders(context, call, progress, candidate), requestId: call.requestId, body: call.body,
 		requiresFreshConnection: !isIdempotent(call),
 		limits: attemptLimits(call, candidate, isIdempotent(call) && progress.sent + 1 < route.maxAttempts, nowMs),
-		beginWithinMs: engineVersion === null ? null : beginWithinMs(engineVersion, versionDuesOf(context, call), startedAtMs),
+		beginWithinMs: engineVersion === null ? null : startWithinMs(engineVersion, versionDuesOf(context, call), startedAtMs),
 		signal: call.cancellation.signal,
 		onHead(head) {
 			recordLimit(context, candidate, head, startedAtMs);
@@ -80,7 +80,7 @@
 			if (route.retryClass !== 'streaming') {
 				load.awaiting.delete(key);
 				metrics.firstByte(service.name, tookMs);
-				noteLag(load, tookMs - expectedMs + lagMs, nowMs());
+				recordLag(load, tookMs - expectedMs + lagMs, nowMs());
 			}
 		},
 		onEvents(head, events, lastId) {
@@ -88,7 +88,7 @@
 				const tookMs = nowMs() - startedAtMs;
 				metrics.firstByte(service.name, tookMs);
 				metrics.expectation(service.name, expectedMs, tookMs);
-				noteLag(load, tookMs - expectedMs + lagMs, nowMs());
+				recordLag(load, tookMs - expectedMs + lagMs, nowMs());
 				progress.firstByteMs ??= Math.round(nowMs() - call.receivedAtMs);
 				progress.expectedMs ??= Math.round(startedAtMs + expectedMs - call.receivedAtMs);
 			}
@@ -100,7 +100,7 @@
 	});
 	load.outstanding--;
 	if (load.awaiting.delete(key) && result.type === 'broken') {
-		noteLag(load, nowMs() - startedAtMs, nowMs());
+		recordLag(load, nowMs() - startedAtMs, nowMs());
 	}
 
 	if (result.type === 'refused') {
@@ -144,7 +144,7 @@
 			logger.event('BP4045', {
 				requestId, endpointId: id, address, pauseMs: Math.round(notice.pauseMs), remainingMs: remainingPauseMs(load, now),
 			});
-			notePause(load, notice.pauseMs, now);
+			recordPause(load, notice.pauseMs, now);
 			break;
 		}
 
@@ -169,6 +169,6 @@
 	const text = headers[protocol.headers.load];
 	const active = typeof text === 'string' ? protocol.readActive(text) : null;
 	if (active !== null) {
-		load.told = {active, atMs: nowMs()};
+		load.advertisedLoad = {active, atMs: nowMs()};
 	}
 };
--- a/packages/gateway/src/entry/serve-request.ts
+++ b/packages/gateway/src/entry/serve-request.ts
@@ -3,7 +3,7 @@
 	findRoute, type Route, type RouteTable, type Team,
 } from '@bitternpaddle/state';
 import {
-	drawShare, fingerprintOf, hasComeBefore, noteFirstDeadline, outlineOf, type CallerPatience, type Random,
+	randomFraction, fingerprintOf, isCallerRetry, recordFirstDeadline, outlineOf, type FirstAttemptDeadlines, type Random,
 } from '@bitternpaddle/coordination';
 import {BodyTooLargeError, readBody, type Logger} from '@bitternpaddle/transport';
 import type {GatewayMetrics} from '../process/gateway-metrics.js';
@@ -29,7 +29,7 @@
 	/** Whether the process is shutting down; connections are then closed after the current answer. */
 	isLeaving(): boolean;
 	/** Deadlines of first attempts on a route, from which caller retries are recognized. */
-	patience(routeName: string): CallerPatience;
+	patience(routeName: string): FirstAttemptDeadlines;
 	run(call: Call): Promise<void>;
 	nowMs(): number;
 };
@@ -78,7 +78,7 @@
 /** Selects one of the route's services at random, by weight. */
 const pickService = ({targets}: Route, random: Random): string => {
 	const total = targets.reduce((sum, {weight}) => sum + weight, 0);
-	let remainder = drawShare(random) * total;
+	let remainder = randomFraction(random) * total;
 	for (const {serviceName, weight} of targets) {
 		remainder -= weight;
 		if (remainder < 0) {
@@ -112,7 +112,7 @@
 	}
 
 	const {route} = matched;
-	if (!hasComeBefore(context.patience(route.name), {deadlineMs, timeoutMs: route.timeoutMs})) {
+	if (!isCallerRetry(context.patience(route.name), {deadlineMs, timeoutMs: route.timeoutMs})) {
 		return matched;
 	}
 
@@ -152,7 +152,7 @@
 	const deadlineMs = callerDeadlineMs(context, request);
 	const patience = context.patience(route.name);
 	if (isReused && Number.isFinite(deadlineMs)) {
-		noteFirstDeadline(patience, deadlineMs);
+		recordFirstDeadline(patience, deadlineMs);
 	}
 
 	const deadlineAtMs = receivedAtMs + Math.min(route.timeoutMs, deadlineMs);
@@ -179,7 +179,7 @@
 	const tokens = protocol.readTokens(request.headers);
 	await context.run({
 		requestId: String(request.headers[protocol.headers.requestId] ?? ''), request, response, route, service, team, body, requiresKey: key !== null, receivedAtMs, deadlineAtMs, cancellation,
-		promptTokens: tokens.prompt, answerTokenLimit: tokens.mostAnswer, hasComeBack: !isReused && hasComeBefore(patience, {deadlineMs, timeoutMs: route.timeoutMs}),
+		promptTokens: tokens.prompt, answerTokenLimit: tokens.maxAnswer, hasComeBack: !isReused && isCallerRetry(patience, {deadlineMs, timeoutMs: route.timeoutMs}),
 		outline: memoize(() => outlineOf(identity)), fingerprint: memoize(() => fingerprintOf(identity)),
 		isKeyInForce: () => key === null || context.table()?.teamsByKey.get(key)?.name === team?.name,
 	});
--- a/packages/gateway/src/limits/endpoint-limits.ts
+++ b/packages/gateway/src/limits/endpoint-limits.ts
@@ -1,10 +1,10 @@
 import type {Buffer} from 'node:buffer';
 import {
-	createLimitLedger, endpointIdIn, endpointStartOf, limitOf, limitsToShare, noteLimitAnswer, noteSharedLimit, pruneLimits, releaseLimits,
+	createLimitLedger, endpointIdIn, endpointStartOf, limitOf, limitsToShare, recordLimitAnswer, recordSharedLimit, pruneLimits, releaseLimits,
 	type Announcement, type EndpointStart, type LimitChange, type LimitNotice, type PermitState, type Random, type SharedLimit,
 } from '@bitternpaddle/coordination';
 import type {Logger} from '@bitternpaddle/transport';
-import {chunk, drawPeers} from '../link/gossip.js';
+import {chunk, samplePeers} from '../link/gossip.js';
 import type {GatewayMetrics} from '../process/gateway-metrics.js';
 import {decodeLimitMessage, encodeLimitMessage, type LimitMessage} from './limit-message.js';
 import {createPermitExchange} from './permit-exchange.js';
@@ -88,7 +88,7 @@
 		selfAddress, peers, send: sendMessage, random, nowMs,
 		limitOf(start) {
 			const known = ledger.limits.get(start);
-			return known === undefined || known.perSecond === null ? null : {start, perSecond: known.perSecond, heardAtMs: known.heardAtMs};
+			return known === undefined || known.perSecond === null ? null : {start, perSecond: known.perSecond, advertisedAtMs: known.receivedAtMs};
 		},
 		onIssuerChange({start, issuerAddress, isSilent}) {
 			logger.event(isSilent ? 'BP4043' : 'BP4044', {endpointId: endpointIdIn(start), issuerAddress});
@@ -109,7 +109,7 @@
 		limitedCount = [...ledger.limits.values()].filter(({perSecond}) => perSecond !== null).length;
 	};
 
-	const applyChange = ({start, previousPerSecond, previousSinceMs, known: {perSecond, heardAtMs}}: LimitChange, source: 'answer' | 'entry' | 'release', address?: string): void => {
+	const applyChange = ({start, previousPerSecond, previousSinceMs, known: {perSecond, receivedAtMs: heardAtMs}}: LimitChange, source: 'answer' | 'entry' | 'release', address?: string): void => {
 		countLimited();
 		metrics.count('limit_changes', 'Limits that endpoints named, changed and lifted.');
 		const fields = {
@@ -130,7 +130,7 @@
 
 	const applySharedLimits = (limits: readonly SharedLimit[]): void => {
 		for (const limit of limits) {
-			const change = noteSharedLimit(ledger, limit);
+			const change = recordSharedLimit(ledger, limit);
 			if (change !== null) {
 				applyChange(change, 'entry');
 			}
@@ -139,7 +139,7 @@
 
 	const knownLimits = (start: EndpointStart): SharedLimit[] => {
 		const known = ledger.limits.get(start);
-		return known === undefined ? [] : [{start, perSecond: known.perSecond, heardAtMs: known.heardAtMs}];
+		return known === undefined ? [] : [{start, perSecond: known.perSecond, advertisedAtMs: known.receivedAtMs}];
 	};
 
 	const release = (): void => {
@@ -155,7 +155,7 @@
 		repeatedFrom = repeatedFrom < all.length ? repeatedFrom : 0;
 		const part = all.slice(repeatedFrom, repeatedFrom + maxLimitsPerRepeat);
 		repeatedFrom += part.length;
-		shareLimits(part, drawPeers(peers(), peersPerRepeat, random));
+		shareLimits(part, samplePeers(peers(), peersPerRepeat, random));
 	};
 
 	const handleMessage = (message: LimitMessage): void => {
@@ -203,7 +203,7 @@
 			}
 
 			const start = endpointStartOf(announcement);
-			const change = noteLimitAnswer(ledger, {
+			const change = recordLimitAnswer(ledger, {
 				start, notice, hasRun, sentAtMs,
 			}, nowMs());
 			if (change !== null) {
@@ -228,7 +228,7 @@
 			}
 
 			hasSynced = true;
-			sendMessage({type: 'sync', entryAddress: selfAddress}, drawPeers(peers(), peersToSync, random));
+			sendMessage({type: 'sync', entryAddress: selfAddress}, samplePeers(peers(), peersToSync, random));
 		},
 		receive(data) {
 			const message = decodeLimitMessage(data, nowMs());
--- a/packages/gateway/src/limits/limit-message.ts
+++ b/packages/gateway/src/limits/limit-message.ts
@@ -30,9 +30,9 @@
 type EncodedLimit = z.infer<typeof limitSchema>;
 
 /** Encodes times as ages, because the clocks of hosts differ. */
-const encodeLimit = ({start, perSecond, heardAtMs}: SharedLimit, nowMs: number): EncodedLimit => [start, perSecond, Math.max(0, Math.round(nowMs - heardAtMs))];
+const encodeLimit = ({start, perSecond, advertisedAtMs: heardAtMs}: SharedLimit, nowMs: number): EncodedLimit => [start, perSecond, Math.max(0, Math.round(nowMs - heardAtMs))];
 
-const decodeLimit = ([start, perSecond, ageMs]: EncodedLimit, nowMs: number): SharedLimit => ({start, perSecond, heardAtMs: nowMs - ageMs});
+const decodeLimit = ([start, perSecond, ageMs]: EncodedLimit, nowMs: number): SharedLimit => ({start, perSecond, advertisedAtMs: nowMs - ageMs});
 
 export const encodeLimitMessage = (message: LimitMessage, nowMs: number): Uint8Array => {
 	switch (message.type) {
--- a/packages/gateway/src/limits/permit-exchange.ts
+++ b/packages/gateway/src/limits/permit-exchange.ts
@@ -1,5 +1,5 @@
 import {
-	createPermitAccount, createPermitIssuer, discardPermits, hasQueuedRequests, isIssuerSilent, issuePermits, notePermitReply, permitState, permitsToRequest, prefetchesPermits, pruneIssuer,
+	createPermitAccount, createPermitIssuer, discardPermits, hasQueuedRequests, isIssuerSilent, issuePermits, recordPermitReply, permitState, permitsToRequest, prefetchesPermits, pruneIssuer,
 	rendezvousOrder, requestPermits, usePermit, type EndpointStart, type PermitAccount, type PermitReply, type PermitState, type Random, type SharedLimit,
 } from '@bitternpaddle/coordination';
 import type {LimitMessage} from './limit-message.js';
@@ -70,7 +70,7 @@
 			return;
 		}
 
-		notePermitReply(tracked.account, reply, nowMs());
+		recordPermitReply(tracked.account, reply, nowMs());
 		updateIssuerState(start, tracked);
 	};
 
--- a/packages/gateway/src/link/configuration-holder.ts
+++ b/packages/gateway/src/link/configuration-holder.ts
@@ -7,7 +7,7 @@
 	number(): number;
 	table(): RouteTable | null;
 	/** Applies a configuration if it is newer and valid. */
-	take(document: {readonly number: number; readonly text: string}): void;
+	applyIfNewer(document: {readonly number: number; readonly text: string}): void;
 };
 
 export type ConfigurationHolderOptions = {
@@ -22,7 +22,7 @@
 	return {
 		number: () => number,
 		table: () => table,
-		take(document) {
+		applyIfNewer(document) {
 			if (document.number <= number) {
 				return;
 			}
--- a/packages/gateway/src/link/core-client.ts
+++ b/packages/gateway/src/link/core-client.ts
@@ -94,7 +94,7 @@
 		const pollWaitMs = isFirst || connection.isRefreshing ? 0 : waitMs;
 		connection.isRefreshing = false;
 		const response = await callRpc<unknown>({
-			isPacked: true, address, method: 'gateway.watch', timeoutMs: pollWaitMs + answerSlackMs, signal: connection.abort.signal,
+			isCompressed: true, address, method: 'gateway.watch', timeoutMs: pollWaitMs + answerSlackMs, signal: connection.abort.signal,
 			params: {
 				follower: self, epoch: connection.epoch, position: connection.position, rosterHash: !isFirst && address === rosterSource() ? heldRosterHash(address, connection) : null,
 				versionsHash: connection.versionsHash, waitMs: pollWaitMs,
@@ -138,7 +138,7 @@
 			}
 
 			const response = await callRpc<unknown>({
-				address: nearestOf(announcer), method: 'gateway.configuration', params: {}, isPacked: true, timeoutMs: fetchTimeoutMs,
+				address: nearestOf(announcer), method: 'gateway.configuration', params: {}, isCompressed: true, timeoutMs: fetchTimeoutMs,
 			});
 			const document = configurationResultSchema.parse(response);
 			if (document !== null && !isClosed) {
--- a/packages/gateway/src/link/gossip.ts
+++ b/packages/gateway/src/link/gossip.ts
@@ -11,7 +11,7 @@
 };
 
 /** Selects up to `count` distinct peers at random. */
-export const drawPeers = (peers: readonly string[], count: number, random: Random): string[] => {
+export const samplePeers = (peers: readonly string[], count: number, random: Random): string[] => {
 	const remaining = [...peers];
 	const sampled: string[] = [];
 	while (remaining.length > 0 && sampled.length < count) {
--- a/packages/gateway/src/link/request-protocol.ts
+++ b/packages/gateway/src/link/request-protocol.ts
@@ -32,7 +32,7 @@
 		| {readonly type: 'invalid'; readonly problems: readonly string[]};
 
 /** Number of prompt tokens and maximum number of answer tokens; 0 for a value that the request does not give. */
-export type RequestTokens = {readonly prompt: number; readonly mostAnswer: number};
+export type RequestTokens = {readonly prompt: number; readonly maxAnswer: number};
 
 /** The protocol of callers and endpoints, as far as an entry needs it. */
 export type RequestProtocol = {
--- a/packages/gateway/src/link/wanted-versions.ts
+++ b/packages/gateway/src/link/wanted-versions.ts
@@ -3,7 +3,7 @@
 
 /** The versions of weights that were named, and when this process learned of each. */
 export type WantedVersions = {
-	hear(result: Pick<WatchResult, 'versions' | 'freshAgeMs'>, nowMs: number): void;
+	recordResult(result: Pick<WatchResult, 'versions' | 'freshAgeMs'>, nowMs: number): void;
 	/** Whether the newest version is confirmed, or the maximum wait for confirmation has passed. */
 	isDetermined(nowMs: number): boolean;
 	/** The newest named version; 0 if there is none. */
@@ -40,7 +40,7 @@
 	const known = new Map<string, Map<number, number>>();
 	const dues = new Map<string, readonly VersionDue[]>();
 	return {
-		hear({versions, freshAgeMs}, nowMs) {
+		recordResult({versions, freshAgeMs}, nowMs) {
 			isConfirmed ||= freshAgeMs !== null;
 			for (const {model, version, ageMs} of versions) {
 				const since = known.get(model) ?? new Map<number, number>();
--- a/packages/gateway/src/load/load-relay.ts
+++ b/packages/gateway/src/load/load-relay.ts
@@ -18,8 +18,8 @@
 /** Interval at which each relay sends to its zone; with two relays per zone, entries receive twice as often. */
 export const relayIntervalMs = 100;
 /** Interval at which each relay sends a digest to other zones; a single relay still suffices to keep the reports there fresh. */
-export const digestEveryMs = 200;
-const ticksPerDigest = digestEveryMs / relayIntervalMs;
+export const digestIntervalMs = 200;
+const ticksPerDigest = digestIntervalMs / relayIntervalMs;
 /** Engines without a report for this long are omitted: their host is stalled or disconnected, and the other entries must be able to detect that. */
 const silentMs = 400;
 /** At about 35 bytes per report, keeps a datagram within one packet. */
@@ -45,7 +45,7 @@
 		}
 
 		const reports = chosen.map(({report, atMs}): LoadReport => ({
-			...report, way: {type: 'relayed', ageMs: nowMs - atMs, delayMs: delayMs(report.endpointAddress)},
+			...report, delivery: {type: 'relayed', ageMs: nowMs - atMs, delayMs: delayMs(report.endpointAddress)},
 		}));
 		for (let from = 0; from < reports.length; from += maxReportsPerDatagram) {
 			send({kind, reports: reports.slice(from, from + maxReportsPerDatagram)}, addresses);
--- a/packages/gateway/src/load/load-report.ts
+++ b/packages/gateway/src/load/load-report.ts
@@ -4,7 +4,7 @@
 import * as z from 'zod';
 
 /** How a report was delivered, and how to determine its age. */
-export type ReportWay
+export type ReportDelivery
 	/** Sent by the agent itself; `sentAtMs` is by the agent's clock. */
 	= | {readonly type: 'direct'; readonly sentAtMs: number}
 		/** Relayed by an entry of the endpoint's zone, with the age of the report and the current delay of the path from the agent to that entry, above the lowest delay observed. */
@@ -18,7 +18,7 @@
 	readonly endpointAddress: string;
 	/** `null` if the engine cannot be reached. */
 	readonly report: EngineReport | null;
-	readonly way: ReportWay;
+	readonly delivery: ReportDelivery;
 };
 
 /**
@@ -40,7 +40,7 @@
 const messageSchema = z.tuple([z.number().int().min(0).max(kinds.length - 1), z.array(itemSchema)]);
 type Item = z.infer<typeof itemSchema>;
 
-const encodeItem = ({epoch, sequence, endpointAddress, report, way}: LoadReport): Item => [
+const encodeItem = ({epoch, sequence, endpointAddress, report, delivery: way}: LoadReport): Item => [
 	endpointAddress,
 	epoch,
 	sequence,
@@ -50,7 +50,7 @@
 		: [report.running, report.queued, Math.round(report.pace * paceScale), report.isBusy, report.isStrained, report.version, report.readyInMs],
 ];
 
-const decodeDelivery = (way: Item[3], timeMs: number, delayMs: number): ReportWay => way === deliveryCodes.direct
+const decodeDelivery = (way: Item[3], timeMs: number, delayMs: number): ReportDelivery => way === deliveryCodes.direct
 	? {type: 'direct', sentAtMs: timeMs}
 	: {type: 'relayed', ageMs: timeMs, delayMs};
 
@@ -59,7 +59,7 @@
 });
 
 const decodeItem = ([endpointAddress, epoch, sequence, way, timeMs, delayMs, fields]: Item): LoadReport => ({
-	endpointAddress, epoch, sequence, way: decodeDelivery(way, timeMs, delayMs), report: fields === null ? null : decodeReport(fields),
+	endpointAddress, epoch, sequence, delivery: decodeDelivery(way, timeMs, delayMs), report: fields === null ? null : decodeReport(fields),
 });
 
 export const encodeLoadMessage = ({kind, reports}: LoadMessage): Uint8Array => encode([kinds.indexOf(kind), reports.map(report => encodeItem(report))]);
--- a/packages/gateway/src/load/load-reporter.ts
+++ b/packages/gateway/src/load/load-reporter.ts
@@ -38,7 +38,7 @@
 		send(report, changesService) {
 			sequence++;
 			const reports = [{
-				epoch, sequence, endpointAddress, report, way: {type: 'direct', sentAtMs: performance.now()},
+				epoch, sequence, endpointAddress, report, delivery: {type: 'direct', sentAtMs: performance.now()},
 			}] as const;
 			const {type, localAddresses} = reportRoutes(zoneId, entries());
 			sender.send({kind: 'near', reports}, localAddresses);
--- a/packages/gateway/src/quarantine/crash-exchange.ts
+++ b/packages/gateway/src/quarantine/crash-exchange.ts
@@ -2,7 +2,7 @@
 import {
 	clearancesToRepeat, sightingsToRepeat, type CrashLedger, type Random,
 } from '@bitternpaddle/coordination';
-import {chunk, drawPeers} from '../link/gossip.js';
+import {chunk, samplePeers} from '../link/gossip.js';
 import {decodeCrashUpdate, encodeCrashUpdate, type CrashUpdate} from './crash-update.js';
 
 export type CrashExchangeOptions = {
@@ -60,7 +60,7 @@
 		repeatedFrom = repeatedFrom < all.length ? repeatedFrom : 0;
 		const sightings = all.slice(repeatedFrom, repeatedFrom + maxSightingsPerRepeat);
 		repeatedFrom += sightings.length;
-		sendTo(drawPeers(peers(), peersPerRepeat, random), {sightings, clearances: clearancesToRepeat(ledger, nowMs())});
+		sendTo(samplePeers(peers(), peersPerRepeat, random), {sightings, clearances: clearancesToRepeat(ledger, nowMs())});
 	};
 
 	const timer = setInterval(repeat, repeatMs);
--- a/packages/gateway/src/quarantine/request-quarantine.ts
+++ b/packages/gateway/src/quarantine/request-quarantine.ts
@@ -1,6 +1,6 @@
 import type {Buffer} from 'node:buffer';
 import {
-	clearRequest, confirmEnded, confirmRestarted, createBrokenAttempts, createCrashLedger, isEmpty, mayBeKnown, noteBroken, pruneLedger, takeSightings, verdictOn,
+	clearRequest, confirmExit, confirmRestart, createBrokenAttempts, createCrashLedger, isEmpty, mayHaveRecords, recordBrokenAttempt, pruneLedger, addSightings, verdictOn,
 	type AnswerStage, type BrokenAttempt, type CrashSighting, type Random, type RequestFingerprint, type RequestOutline, type Verdict,
 } from '@bitternpaddle/coordination';
 import type {Logger} from '@bitternpaddle/transport';
@@ -56,7 +56,7 @@
 	const broken = createBrokenAttempts();
 	const watchers = new Set<Watcher>();
 
-	const isKnown = (request: QuarantinedRequest): boolean => !isEmpty(ledger) && mayBeKnown(ledger, request.outline());
+	const isKnown = (request: QuarantinedRequest): boolean => !isEmpty(ledger) && mayHaveRecords(ledger, request.outline());
 
 	const logVerdict = (verdict: Verdict, isOwn: boolean): void => {
 		const now = nowMs();
@@ -77,7 +77,7 @@
 	};
 
 	const recordSightings = (sightings: readonly CrashSighting[], isOwn: boolean, condemnedElsewhere?: ReadonlySet<RequestFingerprint>): readonly CrashSighting[] => {
-		const recorded = takeSightings(ledger, sightings, nowMs(), condemnedElsewhere);
+		const recorded = addSightings(ledger, sightings, nowMs(), condemnedElsewhere);
 		for (const verdict of recorded.verdicts) {
 			logVerdict(verdict, isOwn);
 		}
@@ -119,15 +119,15 @@
 			const attempt = {
 				fingerprint: request.fingerprint(), address, atMs: nowMs(), stage,
 			};
-			if (noteBroken(broken, attempt)) {
+			if (recordBrokenAttempt(broken, attempt)) {
 				recordOwn([attempt]);
 			}
 		},
 		recordExit(address) {
-			recordOwn(confirmEnded(broken, address, nowMs()));
+			recordOwn(confirmExit(broken, address, nowMs()));
 		},
 		recordRestart(address) {
-			recordOwn(confirmRestarted(broken, address, nowMs()));
+			recordOwn(confirmRestart(broken, address, nowMs()));
 		},
 		recordCompletion(request) {
 			if (!isKnown(request)) {
--- a/packages/gateway/test/core-node.test.ts
+++ b/packages/gateway/test/core-node.test.ts
@@ -12,7 +12,7 @@
 
 const start = async (t: Test, selfAddress: string, seeds: readonly string[], folder: string | null, isFirstStart = true): Promise<CoreNode> => {
 	const node = await createCoreNode({
-		selfAddress, zoneId: 'z1', regionId: 'r1', folder, isFirstStart, seeds: () => seeds, lossesBorne: 1, clock, logger: silentLogger,
+		selfAddress, zoneId: 'z1', regionId: 'r1', folder, isFirstStart, seeds: () => seeds, toleratedLosses: 1, clock, logger: silentLogger,
 	});
 	t.teardown(async () => node.close());
 	return node;
@@ -125,7 +125,7 @@
 t.test('a version named in the snapshot is reported from the start', async t => {
 	const [address] = await freeAddresses(1);
 	const options = {
-		selfAddress: address!, zoneId: 'z1', regionId: 'r1', folder: path.join(testFolder(t), 'core'), seeds: () => [address!], lossesBorne: 0, clock, logger: silentLogger,
+		selfAddress: address!, zoneId: 'z1', regionId: 'r1', folder: path.join(testFolder(t), 'core'), seeds: () => [address!], toleratedLosses: 0, clock, logger: silentLogger,
 	};
 	const before = await createCoreNode({...options, isFirstStart: true});
 	await until(async () => await before.submit({kind: 'version', model: 'm', version: 2}) === 'stored');
--- a/packages/gateway/test/endpoint-view.test.ts
+++ b/packages/gateway/test/endpoint-view.test.ts
@@ -18,7 +18,7 @@
 	};
 	const receiveReport = (nowMs: number): void => {
 		view.recordReport({
-			epoch: 1, sequence: 1, endpointAddress: '10.0.0.1:80', report, way: {type: 'direct', sentAtMs: nowMs},
+			epoch: 1, sequence: 1, endpointAddress: '10.0.0.1:80', report, delivery: {type: 'direct', sentAtMs: nowMs},
 		}, nowMs);
 	};
 
--- a/packages/gateway/test/entry-node.test.ts
+++ b/packages/gateway/test/entry-node.test.ts
@@ -39,7 +39,7 @@
 		urgency: 'x-urgency', load: 'x-load', lastEventId: 'last-event-id',
 	},
 	decodeConfiguration: () => ({type: 'configuration', configuration}),
-	readTokens: headers => ({prompt: 100, mostAnswer: Number(headers['x-tokens'] ?? 10)}),
+	readTokens: headers => ({prompt: 100, maxAnswer: Number(headers['x-tokens'] ?? 10)}),
 	readActive: () => null,
 	readLimit: () => ({type: 'unlimited'}),
 	readPause: () => ({type: 'none'}),
@@ -65,7 +65,7 @@
 	let addedMs = 0;
 	const clock = createSuspendAwareClock({steadyNowMs: () => performance.now(), wallNowMs: () => Date.now() + addedMs});
 	const coreNode = await createCoreNode({
-		selfAddress: core!, zoneId: 'z', regionId: 'r', folder: path.join(testFolder(t), 'core'), isFirstStart: true, seeds: () => [core!], lossesBorne: 0, clock, logger: silentLogger,
+		selfAddress: core!, zoneId: 'z', regionId: 'r', folder: path.join(testFolder(t), 'core'), isFirstStart: true, seeds: () => [core!], toleratedLosses: 0, clock, logger: silentLogger,
 	});
 	const entryNode = await createEntryNode({
 		selfAddress: entry!, zoneId: 'z', regionId: 'r', listen: front!, readinessListen: readiness!, seeds: () => [core!], protocol, clock, logger: silentLogger, randomSeed: 7,
--- a/packages/gateway/test/limit-message.test.ts
+++ b/packages/gateway/test/limit-message.test.ts
@@ -3,7 +3,7 @@
 import type {EndpointStart} from '@bitternpaddle/coordination';
 import {decodeLimitMessage, encodeLimitMessage, type LimitMessage} from '@bitternpaddle/gateway';
 
-const limit = {start: 'e1@0' as EndpointStart, perSecond: 1.6, heardAtMs: 900};
+const limit = {start: 'e1@0' as EndpointStart, perSecond: 1.6, advertisedAtMs: 900};
 
 t.test('messages about limits round-trip, with times converted to the clock of the receiver', async t => {
 	const messages: LimitMessage[] = [
@@ -19,7 +19,7 @@
 		t.same(decodeLimitMessage(Buffer.from(encodeLimitMessage(message, 1000)), 1000), message);
 	}
 
-	t.match(decodeLimitMessage(Buffer.from(encodeLimitMessage(messages[0]!, 1000)), 5000), {limits: [{heardAtMs: 4900}]});
+	t.match(decodeLimitMessage(Buffer.from(encodeLimitMessage(messages[0]!, 1000)), 5000), {limits: [{advertisedAtMs: 4900}]});
 });
 
 t.test('other datagrams are not decoded', async t => {
@@ -29,6 +29,6 @@
 });
 
 t.test('a datagram with the maximum number of limits fits into one packet', async t => {
-	const limits = Array.from({length: 20}, (_, index) => ({start: `i-0123456789ab${index}@1764756000000` as EndpointStart, perSecond: 12.345, heardAtMs: 0}));
+	const limits = Array.from({length: 20}, (_, index) => ({start: `i-0123456789ab${index}@1764756000000` as EndpointStart, perSecond: 12.345, advertisedAtMs: 0}));
 	t.ok(encodeLimitMessage({type: 'limits', limits}, 600_000).length < 1400);
 });
--- a/packages/gateway/test/load-relay.test.ts
+++ b/packages/gateway/test/load-relay.test.ts
@@ -7,7 +7,7 @@
 } from '@bitternpaddle/gateway';
 
 const report = (address: string, sequence = 1): LoadReport => ({
-	epoch: 7, sequence, endpointAddress: address, way: {type: 'direct', sentAtMs: 1000}, report: {
+	epoch: 7, sequence, endpointAddress: address, delivery: {type: 'direct', sentAtMs: 1000}, report: {
 		running: 3, queued: 1, pace: 1.25, isBusy: false, isStrained: true, version: 2, readyInMs: null,
 	},
 });
@@ -16,7 +16,7 @@
 
 t.test('messages round-trip', async t => {
 	const message: LoadMessage = {
-		kind: 'digest', reports: [{...report('10.0.0.1:80'), way: {type: 'relayed', ageMs: 120, delayMs: 3}}, {...report('10.0.0.2:80'), report: null}],
+		kind: 'digest', reports: [{...report('10.0.0.1:80'), delivery: {type: 'relayed', ageMs: 120, delayMs: 3}}, {...report('10.0.0.2:80'), report: null}],
 	};
 	t.same(decodeLoadMessage(Buffer.from(encodeLoadMessage(message))), message);
 });
@@ -53,7 +53,7 @@
 			sent.push(message);
 		},
 	});
-	return {relay, sentReports: () => sent.map(({kind, reports}) => [kind, reports.map(({endpointAddress, way}) => [endpointAddress, way.type === 'relayed' ? way.ageMs : null])])};
+	return {relay, sentReports: () => sent.map(({kind, reports}) => [kind, reports.map(({endpointAddress, delivery: way}) => [endpointAddress, way.type === 'relayed' ? way.ageMs : null])])};
 };
 
 // Guards against relaying an outdated report while an agent is stalled: the engine would look
--- a/packages/gateway/test/serve-request.test.ts
+++ b/packages/gateway/test/serve-request.test.ts
@@ -1,5 +1,5 @@
 import {createRouteTable, type RouteTable, type RoutingConfiguration} from '@bitternpaddle/state';
-import {createCallerPatience, createRandom} from '@bitternpaddle/coordination';
+import {createFirstAttemptDeadlines, createRandom} from '@bitternpaddle/coordination';
 import {freeAddresses} from '@bitternpaddle/test-support';
 import {readBody, sendHttp, silentLogger} from '@bitternpaddle/transport';
 import t, {type Test} from 'tap';
@@ -28,7 +28,7 @@
 		urgency: 'x-urgency', load: 'x-load', lastEventId: 'last-event-id',
 	},
 	decodeConfiguration: () => ({type: 'invalid', problems: []}),
-	readTokens: () => ({prompt: 100, mostAnswer: 10}),
+	readTokens: () => ({prompt: 100, maxAnswer: 10}),
 	readActive: () => null,
 	readLimit: () => ({type: 'unlimited'}),
 	readPause: () => ({type: 'none'}),
@@ -40,7 +40,7 @@
 	const state = {table: tableWith(1, ['k']), holdsLease: false};
 	const keysInForce: boolean[] = [];
 	const waits: number[] = [];
-	const patience = createCallerPatience();
+	const patience = createFirstAttemptDeadlines();
 	const context: ServeContext = {
 		protocol, random: createRandom(1), logger: silentLogger, metrics: createGatewayMetrics(), nowMs: () => performance.now(),
 		table: () => state.table, holdsLease: () => state.holdsLease, lostCoreRetryMs: () => 2000, isLeaving: () => false, patience: () => patience,
--- a/packages/gateway/test/support/crashing-fleet.ts
+++ b/packages/gateway/test/support/crashing-fleet.ts
@@ -43,7 +43,7 @@
 		urgency: 'x-urgency', load: 'x-load', lastEventId: 'last-event-id',
 	},
 	decodeConfiguration: () => ({type: 'configuration', configuration}),
-	readTokens: () => ({prompt: 100, mostAnswer: 10}),
+	readTokens: () => ({prompt: 100, maxAnswer: 10}),
 	readActive: () => null,
 	isLeaving: headers => headers['x-leaving'] === '1',
 	readPause: ({'retry-after': text}) => text === undefined ? {type: 'none'} : {type: 'pause', pauseMs: Number(text) * 1000},
@@ -277,7 +277,7 @@
 	};
 
 	const coreNode: CoreNode = await createCoreNode({
-		selfAddress: core!, zoneId: 'z', regionId: 'r', folder: path.join(testFolder(t), 'core'), isFirstStart: true, seeds: () => [core!], lossesBorne: 0, clock,
+		selfAddress: core!, zoneId: 'z', regionId: 'r', folder: path.join(testFolder(t), 'core'), isFirstStart: true, seeds: () => [core!], toleratedLosses: 0, clock,
 		logger: silentLogger,
 	});
 	const createEntry = async (index: number): Promise<EntryNode> => createEntryNode({
--- a/packages/gateway/test/support/permit-fleet.ts
+++ b/packages/gateway/test/support/permit-fleet.ts
@@ -1,5 +1,5 @@
 import {
-	createRandom, drawShare, rendezvousOrder, type EndpointStart, type Random,
+	createRandom, randomFraction, rendezvousOrder, type EndpointStart, type Random,
 } from '@bitternpaddle/coordination';
 import {createPermitExchange, type LimitMessage, type PermitExchange} from '@bitternpaddle/gateway';
 
@@ -56,9 +56,9 @@
 
 	const createExchange = (entry: () => PermitEntry, address: string): PermitExchange => createPermitExchange({
 		selfAddress: address, peers: () => entry().peers, random, nowMs: () => nowMs, onIssuerChange: () => undefined, onQueued: () => undefined,
-		limitOf: start => ({start, perSecond: perSecond(nowMs), heardAtMs: nowMs}),
+		limitOf: start => ({start, perSecond: perSecond(nowMs), advertisedAtMs: nowMs}),
 		send(message, [to]) {
-			if (!entry().isCut && drawShare(random) >= lossShare) {
+			if (!entry().isCut && randomFraction(random) >= lossShare) {
 				messages.push({to: to!, message, dueMs: nowMs + random.between(minDelayMs, maxDelayMs)});
 			}
 		},
@@ -99,7 +99,7 @@
 		}
 	};
 
-	const isRequestDue = ({demandPerSecond}: PermitEntry): boolean => drawShare(random) < demandPerSecond * stepMs / 1000;
+	const isRequestDue = ({demandPerSecond}: PermitEntry): boolean => randomFraction(random) < demandPerSecond * stepMs / 1000;
 
 	const step = (): void => {
 		nowMs += stepMs;
--- a/packages/gateway/test/wanted-versions.test.ts
+++ b/packages/gateway/test/wanted-versions.test.ts
@@ -10,9 +10,9 @@
 t.test('the wanted version is not determined before a core host confirms it', async t => {
 	const versions = createWantedVersions({dueMs: 8000, startedAtMs: 1000});
 	t.notOk(versions.isDetermined(1000), 'no result received');
-	versions.hear({versions: [], freshAgeMs: null}, 1100);
+	versions.recordResult({versions: [], freshAgeMs: null}, 1100);
 	t.notOk(versions.isDetermined(1100), 'result of a core host that cannot confirm the newest state');
-	versions.hear({versions: [{model, version: 2, ageMs: 0}], freshAgeMs: 5}, 1700);
+	versions.recordResult({versions: [{model, version: 2, ageMs: 0}], freshAgeMs: 5}, 1700);
 	t.ok(versions.isDetermined(1700));
 	t.equal(versions.newest(model), 2);
 });
@@ -21,7 +21,7 @@
 // load weights, of the newest known version.
 t.test('the newest known version is used after a while without confirmation', async t => {
 	const versions = createWantedVersions({dueMs: 8000, startedAtMs: 1000});
-	versions.hear({versions: [], freshAgeMs: null}, 1100);
+	versions.recordResult({versions: [], freshAgeMs: null}, 1100);
 	t.notOk(versions.isDetermined(4900));
 	t.ok(versions.isDetermined(5000));
 });
--- a/packages/gateway/test/weight-exchange.test.ts
+++ b/packages/gateway/test/weight-exchange.test.ts
@@ -2,7 +2,7 @@
 import {createHash} from 'node:crypto';
 import {setTimeout as delay} from 'node:timers/promises';
 import t from 'tap';
-import {haveParametersSchema} from '@bitternpaddle/protocol';
+import {chunkAnnouncementSchema} from '@bitternpaddle/protocol';
 import {createHttpServer, createRpcServer, silentLogger} from '@bitternpaddle/transport';
 import {
 	createPacedLinks, createWeightExchange, type EngineClient, type LoadGoal, type OriginClient,
@@ -121,7 +121,7 @@
 t.test('a process greets its peers again after a stall', async t => {
 	const greetings: boolean[] = [];
 	const rpc = createRpcServer();
-	rpc.method('agent.have', haveParametersSchema, ({isGreeting}) => {
+	rpc.method('agent.have', chunkAnnouncementSchema, ({isGreeting}) => {
 		greetings.push(isGreeting);
 	});
 	const peer = await createHttpServer({listen: '127.0.0.1:0', handler: async (request, response) => rpc.serve(request, response)});
--- a/packages/model/src/engine.ts
+++ b/packages/model/src/engine.ts
@@ -1,4 +1,4 @@
-import {passMs, readMs, type EngineReport} from '@bitternpaddle/coordination';
+import {passMs, prefillMs, type EngineReport} from '@bitternpaddle/coordination';
 import type {EngineProfile} from '@bitternpaddle/state';
 import type {Timeline} from './timeline.js';
 
@@ -110,7 +110,7 @@
 
 		const prefilledTokens = prefill();
 		const decodingCount = running.filter(({remainingPromptTokens}) => remainingPromptTokens === 0).length;
-		const passDurationMs = passMs(profile, decodingCount) + readMs(profile, prefilledTokens);
+		const passDurationMs = passMs(profile, decodingCount) + prefillMs(profile, prefilledTokens);
 		isInPass = true;
 		busyMs += passDurationMs;
 		const passGeneration = generation;
--- a/packages/model/src/entry.ts
+++ b/packages/model/src/entry.ts
@@ -1,7 +1,7 @@
 import {
-	createArrivalRate, createEndpointHealth, createEndpointLoad, createObjectiveMix, createSpareRoom, nextStep, noteArrival, noteObjective,
-	readMs, strictestObjectiveMs, urgencyOf,
-	type Candidate, type NextStep, type Random, type SeekingRequest, type ServiceDemand, type WaitReason,
+	createArrivalRate, createEndpointHealth, createEndpointLoad, createObjectiveMix, createSpareCapacity, nextStep, recordArrival, recordObjective,
+	prefillMs, strictestObjectiveMs, urgencyOf,
+	type Candidate, type NextStep, type Random, type UnplacedRequest, type ServiceDemand, type WaitReason,
 } from '@bitternpaddle/coordination';
 import type {EngineProfile} from '@bitternpaddle/state';
 import type {EngineWork, ModelEngine} from './engine.js';
@@ -49,7 +49,7 @@
 /** The production policy. */
 export const productPolicy: EntryPolicy = {step: nextStep, urgency: urgencyOf};
 
-type WaitingRequest = {readonly unplaced: SeekingRequest; readonly request: EntryRequest};
+type WaitingRequest = {readonly unplaced: UnplacedRequest; readonly request: EntryRequest};
 
 /** Interval at which an entry tries again to place its waiting requests. */
 const recheckIntervalMs = 40;
@@ -65,14 +65,14 @@
 	const candidateList = [...candidates.values()];
 	const arrivalRate = createArrivalRate();
 	const objectives = createObjectiveMix();
-	const spareSlots = createSpareRoom();
+	const spareSlots = createSpareCapacity();
 	let heldCount = 0;
 	let waiting: WaitingRequest[] = [];
 	let isRecheckScheduled = false;
 	let lastKey = 0;
 
 	const demand = (): ServiceDemand => ({
-		sending: arrivalRate, objectives, spareRoom: spareSlots, heldCount, queuedCount: 0,
+		sendRate: arrivalRate, objectives, spareCapacity: spareSlots, heldCount, queuedCount: 0,
 	});
 
 	const send = (request: EntryRequest, {placement: {candidate, expectedMs}}: Extract<NextStep, {type: 'send'}>): void => {
@@ -80,7 +80,7 @@
 		const nowMs = timeline.nowMs();
 		lastKey++;
 		const key = lastKey;
-		noteArrival(arrivalRate, nowMs);
+		recordArrival(arrivalRate, nowMs);
 		load.outstanding++;
 		load.awaiting.set(key, {promptTokens: request.promptTokens, sentAtMs: nowMs, expectedMs});
 		const latencyMs = oneWayLatencyMs(announcement.zoneId);
@@ -95,8 +95,8 @@
 		const work: EngineWork = {
 			promptTokens: request.promptTokens, answerTokens: request.answerTokens,
 			urgency: policy.urgency({
-				priority: 1, hasComeBack: request.hasComeBack, objectiveMs: request.objectiveMs, ownReadMs: readMs(profile, request.promptTokens),
-				usualSlackMs: strictestObjectiveMs(objectives, nowMs) - readMs(profile, profile.usualPromptTokens),
+				priority: 1, hasComeBack: request.hasComeBack, objectiveMs: request.objectiveMs, promptPrefillMs: prefillMs(profile, request.promptTokens),
+				usualSlackMs: strictestObjectiveMs(objectives, nowMs) - prefillMs(profile, profile.usualPromptTokens),
 			}),
 			onFirstToken() {
 				timeline.after(latencyMs, () => {
@@ -139,7 +139,7 @@
 		const {unplaced, request} = waiter;
 		const nowMs = timeline.nowMs();
 		const step = policy.step(demand(), {
-			candidates: candidateList, permitStateOf: () => ({type: 'available'}), profile, zoneId, entryCount, dues: [], leftMs: Number.POSITIVE_INFINITY, random, nowMs,
+			candidates: candidateList, permitStateOf: () => ({type: 'available'}), profile, zoneId, entryCount, dues: [], shutdownInMs: Number.POSITIVE_INFINITY, random, nowMs,
 		}, unplaced);
 		if (step.type === 'wait' && step.reason === unplaced.waitsFor) {
 			waiting.push(waiter);
@@ -182,11 +182,11 @@
 		zoneId, candidates,
 		serve(request) {
 			const nowMs = timeline.nowMs();
-			noteObjective(objectives, request.objectiveMs, nowMs);
+			recordObjective(objectives, request.objectiveMs, nowMs);
 			placeOrWait({
 				request, unplaced: {
 					isLastTry: request.hasComeBack, deadlineAtMs: request.deadlineAtMs, retryClass: 'streaming', objectiveMs: request.objectiveMs, timeoutMs: request.timeoutMs,
-					promptTokens: request.promptTokens, mostAnswerTokens: 0, receivedAtMs: nowMs, sinceMs: nowMs, isBegun: false, sentCount: 0, triedIds: new Set(), waitsFor: null,
+					promptTokens: request.promptTokens, maxAnswerTokens: 0, receivedAtMs: nowMs, sinceMs: nowMs, isBegun: false, sentCount: 0, triedIds: new Set(), waitsFor: null,
 				},
 			});
 		},
--- a/packages/model/src/scenarios.ts
+++ b/packages/model/src/scenarios.ts
@@ -54,8 +54,8 @@
 	],
 } as const satisfies Record<string, readonly CallerClass[]>;
 
-export type WorkName = keyof typeof workloads;
-export const workNames = Object.keys(workloads) as WorkName[];
+export type WorkloadName = keyof typeof workloads;
+export const workloadNames = Object.keys(workloads) as WorkloadName[];
 
 /** Size of the simulated deployment. */
 export type ScenarioSize = {
@@ -64,7 +64,7 @@
 	/** @default 'batch8' */
 	readonly profile?: ProfileName;
 	/** @default 'drafts' */
-	readonly work?: WorkName;
+	readonly work?: WorkloadName;
 };
 
 type Shape = {readonly load: readonly LoadStep[]; readonly events?: readonly EngineEvent[]};
--- a/packages/model/src/world.ts
+++ b/packages/model/src/world.ts
@@ -1,5 +1,5 @@
 import {
-	createRandom, drawShare, type Candidate, type EngineReport, type Random,
+	createRandom, randomFraction, type Candidate, type EngineReport, type Random,
 } from '@bitternpaddle/coordination';
 import {createModelEngine, type ModelEngine} from './engine.js';
 import {
@@ -83,7 +83,7 @@
 };
 
 const applyEvent = ({engines, timeline, random}: Simulation, event: EngineEvent): void => {
-	const randomEngines = (share: number): ModelEngine[] => engines.toSorted(() => drawShare(random) - 0.5).slice(0, Math.round(engines.length * share));
+	const randomEngines = (share: number): ModelEngine[] => engines.toSorted(() => randomFraction(random) - 0.5).slice(0, Math.round(engines.length * share));
 	switch (event.type) {
 		case 'reload': {
 			const concurrentCount = Math.max(1, Math.floor(engines.length * event.concurrentShare));
@@ -125,7 +125,7 @@
 };
 
 const pickCallerClass = (callerClasses: readonly CallerClass[], random: Random): CallerClass => {
-	let remaining = drawShare(random);
+	let remaining = randomFraction(random);
 	return callerClasses.find(({share}) => {
 		remaining -= share;
 		return remaining < 0;
@@ -195,14 +195,14 @@
 
 		simulateCaller(simulation, pickCallerClass(callerClasses, random));
 		const {factor} = load.findLast(({fromS}) => fromS * msPerSecond <= nowMs)!;
-		timeline.after(-Math.log(1 - drawShare(random)) * msPerSecond / (requestsPerSecond * factor), next);
+		timeline.after(-Math.log(1 - randomFraction(random)) * msPerSecond / (requestsPerSecond * factor), next);
 	};
 
 	timeline.at(0, next);
 };
 
 /** Simulates a scenario in virtual time; the same seed gives the same run. */
-export const playScenario = ({scenario, seed, policy = productPolicy}: ScenarioRunOptions): ScenarioRun => {
+export const simulateScenario = ({scenario, seed, policy = productPolicy}: ScenarioRunOptions): ScenarioRun => {
 	const timeline = createTimeline();
 	const random = createRandom(seed);
 	const engines = Array.from({length: scenario.engineCount}, (_, index) => createModelEngine({
--- a/packages/model/test/placing.test.ts
+++ b/packages/model/test/placing.test.ts
@@ -1,7 +1,7 @@
 import {nextStep} from '@bitternpaddle/coordination';
 import t from 'tap';
 import {
-	playScenario, productPolicy, resolveScenario, type EntryPolicy, type Result, type Scenario, type ScenarioName,
+	simulateScenario, productPolicy, resolveScenario, type EntryPolicy, type Result, type Scenario, type ScenarioName,
 } from '@bitternpaddle/model';
 
 const seeds = [1, 2, 3];
@@ -12,7 +12,7 @@
 
 /** Mean results over the seeds. */
 const meanResult = (scenario: Scenario, policy?: EntryPolicy): Pick<Result, 'inTime' | 'late' | 'refused' | 'refusalsPerCaller' | 'heldInVainMs'> => {
-	const results = seeds.map(seed => playScenario({scenario, seed, policy}).result);
+	const results = seeds.map(seed => simulateScenario({scenario, seed, policy}).result);
 	const mean = (field: 'inTime' | 'late' | 'refused' | 'refusalsPerCaller' | 'heldInVainMs'): number => results.reduce((sum, result) => sum + result[field], 0) / results.length;
 	return {
 		inTime: mean('inTime'), late: mean('late'), refused: mean('refused'), refusalsPerCaller: mean('refusalsPerCaller'), heldInVainMs: mean('heldInVainMs'),
@@ -27,13 +27,13 @@
 const retriesAsFirstAttempts: EntryPolicy = {...productPolicy, step: (demand, surroundings, request) => nextStep(demand, surroundings, {...request, isLastTry: false})};
 t.test('the same seed gives the same run, down to each request', async t => {
 	const scenario = scenarioOf('burst', {durationS: 10});
-	t.same(playScenario({scenario, seed: 5}), playScenario({scenario, seed: 5}));
-	t.notSame(playScenario({scenario, seed: 5}).result, playScenario({scenario, seed: 6}).result);
+	t.same(simulateScenario({scenario, seed: 5}), simulateScenario({scenario, seed: 5}));
+	t.notSame(simulateScenario({scenario, seed: 5}).result, simulateScenario({scenario, seed: 6}).result);
 });
 
 t.test('every request of a run has exactly one outcome', async t => {
 	for (const name of ['steady', 'overload-1.6', 'restart', 'loss', 'ramp'] as const) {
-		const {inTime, late, refused, lost} = playScenario({scenario: scenarioOf(name), seed: 1}).result;
+		const {inTime, late, refused, lost} = simulateScenario({scenario: scenarioOf(name), seed: 1}).result;
 		t.ok(Math.abs(inTime + late + refused + lost - 1) < 1e-9, name);
 	}
 });
--- a/packages/protocol/src/http/headers.ts
+++ b/packages/protocol/src/http/headers.ts
@@ -21,7 +21,7 @@
 /** The agent's request gate has no spare slot. */
 export const fullRefusal = 'full';
 /** The endpoint's process exited while it held the request. */
-export const endedRefusal = 'endpoint-ended';
+export const endpointExitRefusal = 'endpoint-ended';
 /** Number of requests running on the host, from all entries. */
 export const loadHeader = 'x-bitternpaddle-load';
 /** Priority of a caller's request among those of its team: 0 (most urgent) to 3. */
--- a/packages/protocol/src/rpc/methods.ts
+++ b/packages/protocol/src/rpc/methods.ts
@@ -137,7 +137,7 @@
  * leader once a second or on a change. Hosts that are not listed are unchanged,
  * so the size does not depend on the number of hosts.
  */
-export const foldSchema = z.object({
+export const reportAggregateSchema = z.object({
 	from: z.string(),
 	/** Increases whenever the sender restarts with a complete aggregate. */
 	epoch: index,
@@ -151,9 +151,9 @@
 	silent: z.array(z.object({hostId: z.string(), session: index, silentMs: z.number().nonnegative()})),
 	behind: z.array(z.object({hostId: z.string(), revision: index})),
 });
-export type Fold = z.infer<typeof foldSchema>;
+export type ReportAggregate = z.infer<typeof reportAggregateSchema>;
 
-export type FoldResult
+export type ReportAggregateResult
 	= | {
 		readonly type: 'taken';
 		/** The leader's revision, read while a quorum confirmed its leadership. */
@@ -193,7 +193,7 @@
 	readonly missingEntries?: readonly string[];
 };
 
-export const settleParametersSchema = z.object({
+export const resolveAttemptParametersSchema = z.object({
 	attemptId: z.string(),
 	/** The agent's incarnation that the request was sent to. */
 	incarnation: index,
@@ -201,9 +201,9 @@
 	/** Cancels the request if it is running and may be cancelled, since nobody waits for its answer any more. */
 	isCancel: z.boolean().default(false),
 });
-export type ResolveAttemptParameters = z.input<typeof settleParametersSchema>;
+export type ResolveAttemptParameters = z.input<typeof resolveAttemptParametersSchema>;
 /** `unknown`: the request gate cannot tell, because its agent was restarted or has discarded the record of the request. */
-export type SettleResult = {readonly type: 'ran' | 'running' | 'notRun' | 'unknown'};
+export type AttemptResolution = {readonly type: 'ran' | 'running' | 'notRun' | 'unknown'};
 
 export const loadParametersSchema = z.object({});
 /** Number of requests running on a host, from all entries. */
@@ -211,13 +211,13 @@
 export type LoadResult = z.infer<typeof loadResultSchema>;
 
 /** Chunks that a peer has obtained, and for how long the sources of weights have requested a backoff. */
-export const haveParametersSchema = z.object({
+export const chunkAnnouncementSchema = z.object({
 	from: z.string(), address: z.string(), manifestId: manifestIdSchema, chunks: z.array(index),
 	/** The sender has just started the transfer: `chunks` lists all that it holds, and it requests the same from the receiver. */
 	isGreeting: z.boolean(),
 	limitsMs: z.object({origin: index, store: index}),
 });
-export type HaveParameters = z.infer<typeof haveParametersSchema>;
+export type ChunkAnnouncement = z.infer<typeof chunkAnnouncementSchema>;
 
 /** Error codes of JSON-RPC responses, outside the range that JSON-RPC reserves. */
 export const rpcErrorCodes = {
--- a/packages/state/src/catalog/adapters.ts
+++ b/packages/state/src/catalog/adapters.ts
@@ -16,7 +16,7 @@
 	.filter(({adapters}) => adapters?.keys.includes(key));
 
 /** Returns the adapters required by a host's assignment: those of its fleet that belong to exactly the assigned version. */
-export const adapterOrderOf = (catalog: Catalog, hostId: string): RequiredAdapters | null => {
+export const requiredAdaptersOf = (catalog: Catalog, hostId: string): RequiredAdapters | null => {
 	const assignment = catalog.hosts[hostId]?.assignment ?? null;
 	if (assignment === null) {
 		return null;
--- a/packages/state/src/catalog/canonical-steps.ts
+++ b/packages/state/src/catalog/canonical-steps.ts
@@ -16,7 +16,7 @@
  * applied. Commands modify the lists and records of catalog and ledger in place,
  * but replace the values in them, so deeper levels need no copy.
  */
-export const freezeState = ({catalog, ledger}: ReplicatedState): ReplicatedState => ({catalog: copyFields(catalog), ledger: copyFields(ledger)});
+export const copyState = ({catalog, ledger}: ReplicatedState): ReplicatedState => ({catalog: copyFields(catalog), ledger: copyFields(ledger)});
 
 /** Yields the canonical JSON of `value` in parts; values `depth` levels below it are not divided further. */
 function * canonicalParts(value: unknown, depth: number): Generator<string> {
--- a/packages/state/src/catalog/claims.ts
+++ b/packages/state/src/catalog/claims.ts
@@ -6,7 +6,7 @@
 
 export type ClaimLimits = {
 	/** Time for which an outcome can be retrieved; afterwards the key can be claimed again. */
-	readonly keptMs: number;
+	readonly retentionMs: number;
 	/** New claims are refused above this number; existing ones are never dropped early. */
 	readonly maxClaims: number;
 	/** Maximum size of the retained answers; above it the oldest answers lose their body, but keep their outcome. */
@@ -14,7 +14,7 @@
 };
 
 /** Must be the same on every control host, so that all get the same results from the log. */
-export const claimLimits: ClaimLimits = {keptMs: 24 * 3_600_000, maxClaims: 200_000, maxBodyBytes: 32 * 1024 * 1024};
+export const claimLimits: ClaimLimits = {retentionMs: 24 * 3_600_000, maxClaims: 200_000, maxBodyBytes: 32 * 1024 * 1024};
 
 type ClaimChange = Extract<Change, {type: 'claim'}>;
 type MoveChange = Extract<Change, {type: 'moveClaim'}>;
@@ -151,7 +151,7 @@
 };
 
 /** Expiry uses the latest time reported by the entries' clocks and never goes backwards, so that all control hosts remove the same claims. */
-const removeExpiredClaims = (ledger: Ledger, atMs: number, {keptMs}: ClaimLimits): void => {
+const removeExpiredClaims = (ledger: Ledger, atMs: number, {retentionMs: keptMs}: ClaimLimits): void => {
 	ledger.claimClockMs = Math.max(ledger.claimClockMs, atMs);
 	while (remainingLength(ledger, 'claimOrder') > 0 && peekFirst(ledger, 'claimOrder')!.atMs < ledger.claimClockMs - keptMs) {
 		const {key, atMs: claimedAtMs} = removeFirst(ledger, 'claimOrder');
--- a/packages/state/src/chunks/chunk-store.ts
+++ b/packages/state/src/chunks/chunk-store.ts
@@ -19,7 +19,7 @@
 	put(index: number, data: Uint8Array): Promise<boolean>;
 	read(index: number): Promise<Uint8Array>;
 	/** Reads all chunks back and compares their digest with the manifest's `wholeDigest`. */
-	verifyWhole(): Promise<boolean>;
+	verifyComplete(): Promise<boolean>;
 	close(): Promise<void>;
 	remove(): Promise<void>;
 };
@@ -119,7 +119,7 @@
 
 			return readRange(index);
 		},
-		async verifyWhole() {
+		async verifyComplete() {
 			const digest = createPacedDigest();
 			for (let index = 0; index < manifest.chunkDigests.length; index++) {
 				await digest.update(await readRange(index));
--- a/packages/state/src/types/verdict.ts
+++ b/packages/state/src/types/verdict.ts
@@ -32,6 +32,6 @@
 
 export const mayHaveRun = (reason: string): MayHaveRun => ({type: 'mayHaveRun', reason});
 
-export const endedUnder = (reason: string): MayHaveRun => ({type: 'mayHaveRun', reason, hasEndpointEnded: true});
+export const endpointExited = (reason: string): MayHaveRun => ({type: 'mayHaveRun', reason, hasEndpointEnded: true});
 
 export const ran: Ran = {type: 'ran'};
--- a/packages/state/test/adapters.test.ts
+++ b/packages/state/test/adapters.test.ts
@@ -1,6 +1,6 @@
 import t from 'tap';
 import {
-	adapterOrderOf, applyChange, canonicalJson, changeSchema, createCatalog, maxAdaptersPerVersion, upgradeAdapters, type Catalog, type CatalogChange,
+	requiredAdaptersOf, applyChange, canonicalJson, changeSchema, createCatalog, maxAdaptersPerVersion, upgradeAdapters, type Catalog, type CatalogChange,
 } from '@bitternpaddle/state';
 
 const manifest = (digit: string): string => `sha256:${digit.repeat(64)}`;
@@ -85,7 +85,7 @@
 	const catalog = createFleetCatalog();
 	const fencingNumbers: number[] = [];
 	const requiredKeys = (): string[] => {
-		const required = adapterOrderOf(catalog, 'h1')!;
+		const required = requiredAdaptersOf(catalog, 'h1')!;
 		fencingNumbers.push(required.fencingNumber);
 		return required.adapters.map(({versionId, adapterId}) => `${versionId}/${adapterId}`);
 	};
--- a/packages/state/test/apply-history.test.ts
+++ b/packages/state/test/apply-history.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import t from 'tap';
 import {
-	applyCommand, canonicalJson, canonicalJsonInSteps, commandSchema, createCatalog, createLedger, freezeState, type Command, type CommandResult, type ReplicatedState,
+	applyCommand, canonicalJson, canonicalJsonInSteps, commandSchema, createCatalog, createLedger, copyState, type Command, type CommandResult, type ReplicatedState,
 } from '@bitternpaddle/state';
 
 const seed = Number(process.env.BITTERNPADDLE_SEED ?? 20_261_202);
@@ -170,7 +170,7 @@
 	for (let round = 0; round < 8; round++) {
 		apply(100);
 		const expected = canonicalJson(state);
-		const written = await canonicalJsonInSteps(freezeState(state), {pause, stepCharacters: 200});
+		const written = await canonicalJsonInSteps(copyState(state), {pause, stepCharacters: 200});
 		if (written !== expected) {
 			t.fail(`the snapshot differs after ${applied} commands`);
 			return;
--- a/packages/state/test/claims.test.ts
+++ b/packages/state/test/claims.test.ts
@@ -4,7 +4,7 @@
 	type Change, type ClaimPlace, type Ledger,
 } from '@bitternpaddle/state';
 
-const limits = {keptMs: 1000, maxClaims: 3, maxBodyBytes: 10};
+const limits = {retentionMs: 1000, maxClaims: 3, maxBodyBytes: 10};
 
 const place = (attemptId: string): ClaimPlace => ({
 	hostId: hostId('ledger-1'), address: '127.0.0.1:1', incarnation: 1, attemptId, issue: {sender: 'entry-1', sequence: 1},
@@ -120,7 +120,7 @@
 // so the cost of a claim must not depend on their number.
 t.test('the number of accesses per claim does not depend on the number of claims', async t => {
 	const accessesPerClaim = (claims: number): number => {
-		const scaledLimits = {keptMs: claims, maxClaims: claims * 2, maxBodyBytes: claims / 2};
+		const scaledLimits = {retentionMs: claims, maxClaims: claims * 2, maxBodyBytes: claims / 2};
 		const ledger = createLedger();
 		const accesses = {count: 0};
 		const run = (index: number): void => {
--- a/packages/test-support/src/engine/fake-engine.ts
+++ b/packages/test-support/src/engine/fake-engine.ts
@@ -28,7 +28,7 @@
 	/** Hold other weights from this token on, as if a third party had sent a load command. */
 	swapAfterTokens?: number;
 	/** Send the previous request's answer, including its request id, as a connection that mixes up its requests does. */
-	isCrossed?: boolean;
+	sendsPreviousAnswer?: boolean;
 	/** Answer from the base alone if a request names an adapter that is not loaded, instead of refusing it. */
 	fallsBackToBase?: boolean;
 	/** Keep the adapters when another base is loaded. */
@@ -194,7 +194,7 @@
 
 		await faults.heldUntil;
 		const ownAnswer = {requestId, text: ownText};
-		const {requestId: answeredId, text} = faults.isCrossed ? previous : ownAnswer;
+		const {requestId: answeredId, text} = faults.sendsPreviousAnswer ? previous : ownAnswer;
 		previous = ownAnswer;
 		const answer = {
 			id: answeredId, model, system_fingerprint: fingerprint, created: 0,
--- a/packages/transport/src/rpc/rpc-client.ts
+++ b/packages/transport/src/rpc/rpc-client.ts
@@ -12,7 +12,7 @@
 	/** `false` opens a new connection, for when the pooled ones may no longer respond. */
 	readonly agent?: http.Agent | false;
 	/** Whether long texts are compressed in both directions, for hosts whose calls cross regions. @default false */
-	readonly isPacked?: boolean;
+	readonly isCompressed?: boolean;
 	/** A larger response is an error. @default none */
 	readonly answerLimitBytes?: number;
 	/** @default none */
@@ -44,7 +44,7 @@
 };
 
 const post = async ({
-	address, timeoutMs, agent, signal, answerLimitBytes, isPacked = false,
+	address, timeoutMs, agent, signal, answerLimitBytes, isCompressed: isPacked = false,
 }: RpcCallOptions, payload: unknown): Promise<string> => {
 	const text = JSON.stringify(payload);
 	const {body, headers} = isPacked ? compressText(text) : {body: text, headers: {}};
--- a/test/burn-fleet.test.ts
+++ b/test/burn-fleet.test.ts
@@ -18,7 +18,7 @@
 	const counter = createBurnCounter();
 	for (const {atMs, isWhole = true} of samples) {
 		countSample(counter, {
-			serviceId: 'bp-writers', teamId: 'marshals', atMs, isWhole, firstTokenMs: 100, firstTokenBoundMs: 1000,
+			serviceId: 'bp-writers', teamId: 'marshals', atMs, isComplete: isWhole, firstTokenMs: 100, firstTokenBoundMs: 1000,
 		});
 	}
 
@@ -107,7 +107,7 @@
 		response.end('{"jsonrpc":"2.0","id":1,"result":{"entryId":"entry-103","series":7}}');
 	}));
 	const lost = [7, 8, 100, 101, 102, 103];
-	const report = await collect(peersOf(addresses, {silentMs: 1500, answerMs: 2500, totalMs: 110_000}));
+	const report = await collect(peersOf(addresses, {silentMs: 1500, answerTimeoutMs: 2500, totalTimeoutMs: 110_000}));
 	t.same(report.missingEntries, lost.map(index => `entry-${index}`).toSorted());
 	t.equal(report.heardEntries.length, entryCount - lost.length);
 	const expected = buildBurnReport({
@@ -125,7 +125,7 @@
 	const addresses = new Map(Array.from({length: 60}, (_, index) => [`entry-${index}`, silent]));
 	addresses.set('entry-0', await serve(t, answers[0]!));
 	const report = await collect(peersOf(addresses, {
-		silentMs: 60_000, answerMs: 60_000, totalMs: 500, lanes: 4,
+		silentMs: 60_000, answerTimeoutMs: 60_000, totalTimeoutMs: 500, concurrency: 4,
 	}));
 	t.same(report.heardEntries, ['entry-0']);
 	t.equal(report.missingEntries.length, 59);
@@ -141,7 +141,7 @@
 
 	let held = 0;
 	let maxHeld = 0;
-	await peersOf(addresses, {lanes: 4}).burn('token', nowMs, async () => {
+	await peersOf(addresses, {concurrency: 4}).burn('token', nowMs, async () => {
 		held++;
 		maxHeld = Math.max(maxHeld, held);
 		await new Promise(resolve => {
@@ -163,7 +163,7 @@
 			const counter = createBurnCounter();
 			for (let second = 240; second >= 1; second--) {
 				countSample(counter, {
-					serviceId: 's', teamId: 't', atMs: askedAtMs - (1000 * second) + offsetMs, isWhole: second % 10 > 0, firstTokenMs: 100, firstTokenBoundMs: 1000,
+					serviceId: 's', teamId: 't', atMs: askedAtMs - (1000 * second) + offsetMs, isComplete: second % 10 > 0, firstTokenMs: 100, firstTokenBoundMs: 1000,
 				});
 			}
 
--- a/test/configuration-peers.test.ts
+++ b/test/configuration-peers.test.ts
@@ -65,12 +65,12 @@
 	await waitUntil('both have it', () => entry.hasLease() && host.hasLease() && host.catalog().revision === entry.catalog().revision && host.catalog().systemId !== undefined);
 	const peers = createPeers(host);
 	const {digest} = host.catalog();
-	t.equal(await peers.meet(headersOf(entry), 1000), null);
+	t.equal(await peers.checkRequestHeaders(headersOf(entry), 1000), null);
 	host.catalog().digest = 'damaged';
-	t.match(await peers.meet(headersOf(entry), 1000), /different configurations/v);
+	t.match(await peers.checkRequestHeaders(headersOf(entry), 1000), /different configurations/v);
 	t.notOk(host.hasLease(), 'no work until the copy has been fetched again');
 	await waitUntil('the copy is right again', () => host.hasLease() && host.catalog().digest === digest);
-	t.equal(await peers.meet(headersOf(entry), 1000), null);
+	t.equal(await peers.checkRequestHeaders(headersOf(entry), 1000), null);
 });
 
 // A host's connection to a control host no longer delivers data, so it does not
@@ -86,7 +86,7 @@
 	await waitUntil('the entry has it', () => entry.catalog().revision > 0);
 	const host = startHost(t, hostId, [unresponsive, control]);
 	t.equal(host.catalog().revision, 0);
-	t.equal(await createPeers(host).meet(headersOf(entry), 2000), null);
+	t.equal(await createPeers(host).checkRequestHeaders(headersOf(entry), 2000), null);
 	t.equal(host.catalog().revision, entry.catalog().revision);
 });
 
--- a/test/flood.test.ts
+++ b/test/flood.test.ts
@@ -243,7 +243,7 @@
 				yield part;
 			}
 		},
-		watch: () => undefined, hasEndpointEnded: () => false,
+		monitorSilence: () => undefined, didEndpointExit: () => false,
 	};
 	const relay = createRelay({logger: silentLogger});
 	const server = await createHttpServer({
--- a/test/promises/configuration.test.ts
+++ b/test/promises/configuration.test.ts
@@ -30,7 +30,7 @@
 	const cluster = await startCluster(t);
 	const {history, links, controls} = cluster;
 	const leader = controls.find(control => control.node()?.isLeader())!;
-	const controlLinks = links.touching([leader.nodeId]).filter(({from, to}) => [from, to].every(id => controls.some(control => control.nodeId === id)));
+	const controlLinks = links.adjacentTo([leader.nodeId]).filter(({from, to}) => [from, to].every(id => controls.some(control => control.nodeId === id)));
 	for (const {relay} of controlLinks) {
 		relay.setModes({forward: 'dropped', backward: 'dropped'});
 	}
@@ -63,7 +63,7 @@
 	const {history, links, agents, entries} = cluster;
 	await Promise.all([agents[0]!.kill(), entries[1]!.kill()]);
 	t.match(await operate(cluster, 'create model after-the-kill', {entry: 0}), {type: 'accepted'});
-	const partitionedLinks = links.touching(['e2']);
+	const partitionedLinks = links.adjacentTo(['e2']);
 	for (const {relay} of partitionedLinks) {
 		relay.setModes({forward: 'dropped', backward: 'dropped'});
 	}
--- a/test/promises/leaving.test.ts
+++ b/test/promises/leaving.test.ts
@@ -24,7 +24,7 @@
 const isPartitionedNode = (nodeId: string): boolean => nodeId === 'h1' || nodeId === 'e1';
 
 const partitionLinks = ({links}: FailureCluster, isPartitioned: (from: string, to: string) => boolean): void => {
-	for (const {from, to, relay} of links.touching(['c1', 'c2', 'c3'])) {
+	for (const {from, to, relay} of links.adjacentTo(['c1', 'c2', 'c3'])) {
 		if (isPartitioned(from, to)) {
 			relay.setModes({forward: 'dropped', backward: 'dropped'});
 		}
--- a/test/promises/not-run.test.ts
+++ b/test/promises/not-run.test.ts
@@ -27,7 +27,7 @@
 	t.teardown(async () => cluster.close());
 	const {history, links, agents} = cluster;
 	t.match(await book(cluster, 'warm-up', 0, 'warm-up'), {type: 'answered'}, 'a connection is open');
-	const toLedger = links.touching([agents.at(-1)!.nodeId]).filter(link => link.to === agents.at(-1)!.nodeId);
+	const toLedger = links.adjacentTo([agents.at(-1)!.nodeId]).filter(link => link.to === agents.at(-1)!.nodeId);
 	for (const {relay} of toLedger) {
 		relay.holdOpenConnections();
 	}
--- a/test/promises/whole-answers.test.ts
+++ b/test/promises/whole-answers.test.ts
@@ -22,7 +22,7 @@
 t.test('answers to other requests are not forwarded', async t => {
 	const {cluster, sendChat} = await startCluster(t);
 	for (const engine of cluster.engines.values()) {
-		engine.faults.isCrossed = true;
+		engine.faults.sendsPreviousAnswer = true;
 	}
 
 	const outcomes = await Promise.all(Array.from({length: 12}, async (_, index) => sendChat(`crossed-${index}`, index % 2 === 0)));
