--- a/packages/state/src/log/frames.ts
+++ b/packages/state/src/log/frames.ts
@@ -93,7 +93,7 @@
 
 		const parsed = bodySchema.safeParse(JSON.parse(body.toString()));
 		if (!parsed.success) {
-			throw new DamagedLogError(`${fileName}: the frame at byte ${offset} is intact, but contains records of an unknown type; start the newer version of the program that wrote it`);
+			throw new DamagedLogError(`${fileName}: the frame at byte ${offset} is intact but has records that this program does not know; start the newer program that wrote it`);
 		}
 
 		records.push(...parsed.data);
