--- a/packages/gateway/src/agent/agent-node.ts
+++ b/packages/gateway/src/agent/agent-node.ts
@@ -248,7 +248,7 @@
 			}
 
 			if (url.startsWith(`${chunksPrefix}/`) && exchange.isBackingOff()) {
-				sendJson(response, 503, {error: 'the link of this host is strained'}, {[retryAfterMsHeader]: String(congestedLinkRetryMs)});
+				sendJson(response, 503, {error: 'the link of this host is congested'}, {[retryAfterMsHeader]: String(congestedLinkRetryMs)});
 				return;
 			}
 
--- a/packages/gateway/src/core/core-node.ts
+++ b/packages/gateway/src/core/core-node.ts
@@ -62,12 +62,12 @@
 const notLeader = (): RpcError => new RpcError(rpcErrorCodes.notLeader, 'this core host does not lead');
 
 /** Monotonic clock for announcements and followers; only the log's leases must also count the time that a host was suspended. */
-const steadyNowMs = (): number => performance.now();
+const monotonicNowMs = (): number => performance.now();
 
 /** One core host: its replica of the document log, the endpoint announcements and its followers. */
 export const createCoreNode = async (options: CoreNodeOptions): Promise<CoreNode> => {
 	const {
-		selfAddress, zoneId, regionId, folder, isFirstStart, seeds, toleratedLosses: lossesBorne, clock, logger,
+		selfAddress, zoneId, regionId, folder, isFirstStart, seeds, toleratedLosses, clock, logger,
 	} = options;
 	const epoch = randomUUID();
 	const self: Follower = {
@@ -77,7 +77,7 @@
 	const followers = createFollowers();
 	const permitService = createPermitService({
 		engineCount: serviceName => [...registry.entries.values()].filter(({announcement}) => announcement.serviceName === serviceName && announcement.state === 'ready').length,
-		nowMs: steadyNowMs,
+		nowMs: monotonicNowMs,
 	});
 	const versionsLearnedAtMs = new Map<string, {version: number; atMs: number}>();
 	let client: CoreClient | null = null;
@@ -87,7 +87,7 @@
 	const recordVersions = (): void => {
 		for (const [model, version] of Object.entries(log.state().versions)) {
 			if (versionsLearnedAtMs.get(model)?.version !== version) {
-				versionsLearnedAtMs.set(model, {version, atMs: steadyNowMs()});
+				versionsLearnedAtMs.set(model, {version, atMs: monotonicNowMs()});
 			}
 		}
 	};
@@ -95,7 +95,7 @@
 	const log = await createDocumentLog({
 		selfAddress, folder, isFirstStart, seeds, clock, logger, otherAddresses,
 		// An odd number of which the tolerated losses are a minority.
-		voterCount: (2 * lossesBorne) + 1,
+		voterCount: (2 * toleratedLosses) + 1,
 		onChange() {
 			setImmediate(() => {
 				recordVersions();
@@ -109,18 +109,18 @@
 	const configurationNumber = (): number => log.state().configuration?.number ?? -1;
 
 	/**
-	 * Core hosts that processes should follow. Hosts without a disk are left out: each
+	 * Core hosts that processes should follow. Hosts without a disk are excluded: each
 	 * follower keeps a long poll open at every listed host, and a host without a disk
 	 * receives updates no sooner than the hosts that it follows itself.
 	 */
 	const followableAddresses = (): string[] => [...new Set([...folder === null ? [] : [selfAddress], ...log.diskAddresses()])];
 
-	const rosterOf = (follower: Follower): Roster => followers.roster(follower, followableAddresses(), steadyNowMs());
+	const rosterOf = (follower: Follower): Roster => followers.roster(follower, followableAddresses(), monotonicNowMs());
 
 	const hasRosterUpdate = ({follower, rosterHash}: WatchParameters): boolean => rosterHash !== null && rosterOf(follower).hash !== rosterHash;
 
 	const answer = (parameters: WatchParameters): WatchResult => {
-		const nowMs = steadyNowMs();
+		const nowMs = monotonicNowMs();
 		// Includes versions named before this process started, for which no change event arrives.
 		recordVersions();
 		followers.record(parameters.follower, nowMs);
@@ -219,7 +219,7 @@
 		onResult(result) {
 			let hasUpdate = false;
 			for (const announcement of result.announcements) {
-				hasUpdate = recordAnnouncement(registry, announcement, steadyNowMs(), 'host') || hasUpdate;
+				hasUpdate = recordAnnouncement(registry, announcement, monotonicNowMs(), 'host') || hasUpdate;
 			}
 
 			if (hasUpdate) {
@@ -229,10 +229,10 @@
 		},
 	});
 	const pruneTimer = setInterval(() => {
-		pruneRegistry(registry, steadyNowMs());
+		pruneRegistry(registry, monotonicNowMs());
 	}, pruneIntervalMs);
 	const rosterTimer = setInterval(() => {
-		// A roster that is too young to be rebuilt now is rebuilt at the next tick. If agents learned of it only at
+		// A roster that is too young to be rebuilt now is rebuilt at the next tick. If agents received it only at
 		// their next poll, an entry that has just joined would get no reports from them for up to four seconds.
 		if (followers.isStale()) {
 			watchService.wake();
@@ -280,7 +280,7 @@
 		},
 		announce(announcement) {
 			const known = registry.entries.get(announcement.id)?.announcement;
-			const isAccepted = recordAnnouncement(registry, {...announcement, ageMs: 0}, steadyNowMs());
+			const isAccepted = recordAnnouncement(registry, {...announcement, ageMs: 0}, monotonicNowMs());
 			if (isAccepted && (known?.state !== announcement.state || isLaterStart(known, announcement))) {
 				logger.event('BP4009', {
 					endpointId: announcement.id, address: announcement.address, state: announcement.state, startedAtMs: announcement.startedAtMs, sequence: announcement.sequence,
--- a/packages/gateway/src/core/permit-desk.ts
+++ b/packages/gateway/src/core/permit-desk.ts
@@ -17,7 +17,7 @@
 type PendingRequest = {readonly holder: string; readonly serviceName: string; readonly untilMs: number; answer(isGranted: boolean): void};
 
 /**
- * How long a request is held before it is answered and the agent asks again. A third
+ * How long a request is held before it is answered and the agent sends it again. A third
  * of the engines is out of service at once, so most of a fleet waits for most of a
  * rollout. Agents that polled every 0.1 s, trying each core host until one leads, would
  * send three thousand calls per second for a hundred engines.
--- a/packages/gateway/src/core/watch-desk.ts
+++ b/packages/gateway/src/core/watch-desk.ts
@@ -21,7 +21,7 @@
 /** Upper bound on the duration of a long poll, whatever wait the follower requests. */
 const maxWaitMs = 4000;
 
-export const createWatchService = ({answer, hasUpdate: isNews}: WatchServiceOptions): WatchService => {
+export const createWatchService = ({answer, hasUpdate}: WatchServiceOptions): WatchService => {
 	const openPolls = new Set<OpenPoll>();
 	let isWakeScheduled = false;
 	let isClosed = false;
@@ -29,7 +29,7 @@
 	const releaseDue = (): void => {
 		isWakeScheduled = false;
 		for (const openPoll of openPolls) {
-			if (isClosed || isNews(openPoll.parameters)) {
+			if (isClosed || hasUpdate(openPoll.parameters)) {
 				openPoll.release();
 			}
 		}
@@ -37,7 +37,7 @@
 
 	return {
 		async watch(parameters) {
-			if (parameters.waitMs > 0 && !isClosed && !isNews(parameters)) {
+			if (parameters.waitMs > 0 && !isClosed && !hasUpdate(parameters)) {
 				await new Promise<void>(resolve => {
 					const openPoll: OpenPoll = {
 						parameters,
--- a/packages/gateway/src/entry/attempt-limits.ts
+++ b/packages/gateway/src/entry/attempt-limits.ts
@@ -13,7 +13,7 @@
 	isReported(): boolean;
 };
 
-/** Timeouts as multiples of the route's objective. An engine without fresh reports from its host may be frozen or gone. */
+/** Timeouts as multiples of the route's objective. An engine without fresh reports from its host may be suspended or lost. */
 const unreportedObjectiveFactor = 1.5;
 /**
  * An engine with fresh reports is slow because requests are queued there: moving the
--- a/packages/gateway/src/entry/attempt.ts
+++ b/packages/gateway/src/entry/attempt.ts
@@ -218,7 +218,7 @@
 			fail('disconnected', error.message);
 		});
 		response.on('close', () => {
-			fail('disconnected', 'the stream was cut off');
+			fail('disconnected', 'the stream was incomplete');
 		});
 	};
 
@@ -236,14 +236,14 @@
 			if (response.complete) {
 				settle({type: isRefused ? 'refused' : 'answered', head, body: Buffer.concat(parts)});
 			} else {
-				fail('disconnected', 'the answer was cut');
+				fail('disconnected', 'the answer was incomplete');
 			}
 		});
 		response.on('error', error => {
 			fail('disconnected', error.message);
 		});
 		response.on('close', () => {
-			fail('disconnected', 'the answer was cut');
+			fail('disconnected', 'the answer was incomplete');
 		});
 	};
 
--- a/packages/gateway/src/entry/endpoint-connections.ts
+++ b/packages/gateway/src/entry/endpoint-connections.ts
@@ -15,7 +15,7 @@
 /** Pool of connections to endpoints. */
 export type EndpointConnections = {
 	open(options: OpenOptions): http.ClientRequest;
-	/** Closes the idle connections to an address; called after a timeout there, because those connections may be dead as well. */
+	/** Closes the idle connections to an address; called after a timeout there, because those connections may be broken as well. */
 	closeIdle(address: string): void;
 	close(): void;
 };
--- a/packages/gateway/src/entry/endpoint-view.ts
+++ b/packages/gateway/src/entry/endpoint-view.ts
@@ -88,7 +88,7 @@
 			return;
 		}
 
-		const {announcement, receivedAtMs: heardAtMs} = entry;
+		const {announcement, receivedAtMs} = entry;
 		const known = tracked.get(id);
 		if (announcement.state === 'gone') {
 			if (known !== undefined) {
@@ -104,7 +104,7 @@
 		if (known === undefined || isLaterStart(known.announcement, announcement)) {
 			const isRestart = (current().byAddress.get(announcement.address) ?? noEndpoints).length > 0;
 			tracked.set(id, {
-				announcement, load: createEndpointLoad(), health: createEndpointHealth(), firstAnnouncedAtMs: heardAtMs, lastAnnouncedAtMs: heardAtMs, isUnreachable: false,
+				announcement, load: createEndpointLoad(), health: createEndpointHealth(), firstAnnouncedAtMs: receivedAtMs, lastAnnouncedAtMs: receivedAtMs, isUnreachable: false,
 			});
 			lookup = null;
 			if (isRestart) {
@@ -119,7 +119,7 @@
 		}
 
 		known.announcement = announcement;
-		known.lastAnnouncedAtMs = heardAtMs;
+		known.lastAnnouncedAtMs = receivedAtMs;
 	};
 
 	const isReplaced = (endpoint: TrackedEndpoint): boolean => {
@@ -140,18 +140,18 @@
 				}
 			}
 		},
-		recordReport({endpointAddress, report, delivery: way}, nowMs) {
+		recordReport({endpointAddress, report, delivery}, nowMs) {
 			for (const endpoint of current().byAddress.get(endpointAddress) ?? noEndpoints) {
 				const {load} = endpoint;
-				if (way.type === 'direct') {
-					recordPathDelay(load.path, way.sentAtMs, nowMs);
+				if (delivery.type === 'direct') {
+					recordPathDelay(load.path, delivery.sentAtMs, nowMs);
 				} else {
-					load.path.delayMs = way.delayMs;
+					load.path.delayMs = delivery.delayMs;
 				}
 
 				endpoint.isUnreachable = report === null;
 				load.report = report ?? load.report;
-				load.reportedAtMs = report === null ? Number.NEGATIVE_INFINITY : nowMs - (way.type === 'direct' ? 0 : way.ageMs);
+				load.reportedAtMs = report === null ? Number.NEGATIVE_INFINITY : nowMs - (delivery.type === 'direct' ? 0 : delivery.ageMs);
 			}
 		},
 		pathDelayMs: address => current().byAddress.get(address)?.[0]?.load.path.delayMs ?? 0,
--- a/packages/gateway/src/entry/entry-node.ts
+++ b/packages/gateway/src/entry/entry-node.ts
@@ -69,7 +69,7 @@
 const pruneMs = 5000;
 /**
  * Share of the grace period in which callers may still use open connections. Later
- * requests could be cut off when it ends, because the longest streams take half of it.
+ * requests could be aborted when it ends, because the longest streams take half of it.
  */
 const servingShare = 0.42;
 /**
@@ -81,8 +81,8 @@
 /** How long before the end of the grace period running requests are aborted, so that the process exits by itself. */
 const shutdownReserveMs = 250;
 const idlePollMs = 50;
-/** Clock for everything except the lease; steps of the wall clock would make reports and requests look late or overdue. */
-const steadyNowMs = (): number => performance.now();
+/** Clock for everything except the lease; steps of the wall clock would make reports and requests appear late or overdue. */
+const monotonicNowMs = (): number => performance.now();
 
 /** Creates an entry: receives requests from callers and forwards them to endpoints. */
 export const createEntryNode = async (options: EntryNodeOptions): Promise<EntryNode> => {
@@ -95,13 +95,13 @@
 	const random = createRandom(options.randomSeed);
 	let peers: readonly string[] = [];
 	const quarantine = createRequestQuarantine({
-		peers: () => peers, logger, metrics, random, nowMs: steadyNowMs,
+		peers: () => peers, logger, metrics, random, nowMs: monotonicNowMs,
 		send(data, addresses) {
 			listener.datagrams.send(data, addresses);
 		},
 	});
 	const limits = createEndpointLimits({
-		selfAddress, peers: () => peers, logger, metrics, random, nowMs: steadyNowMs,
+		selfAddress, peers: () => peers, logger, metrics, random, nowMs: monotonicNowMs,
 		send(data, addresses) {
 			listener.datagrams.send(data, addresses);
 		},
@@ -109,8 +109,8 @@
 	const view = createEndpointView({onRestart: quarantine.recordRestart});
 	const connections = createEndpointConnections();
 	const waitQueue = createWaitQueue();
-	const versions = createWantedVersions({dueMs: bounds.versionDueMs, startedAtMs: steadyNowMs()});
-	const patience = createLazyMap(createFirstAttemptDeadlines);
+	const versions = createWantedVersions({dueMs: bounds.versionDueMs, startedAtMs: monotonicNowMs()});
+	const firstAttemptDeadlines = createLazyMap(createFirstAttemptDeadlines);
 	const sendRate = createLazyMap(createArrivalRate);
 	const objectives = createLazyMap(createObjectiveMix);
 	const spareCapacity = createLazyMap(createSpareCapacity);
@@ -127,7 +127,7 @@
 		onChange(table) {
 			front.setIdleTimeout(table.configuration.limits.idleTimeoutMs);
 			// Each configuration may add and remove routes.
-			patience.retainOnly(table.configuration.routes.map(({name}) => name));
+			firstAttemptDeadlines.retainOnly(table.configuration.routes.map(({name}) => name));
 		},
 	});
 
@@ -143,14 +143,14 @@
 		protocol, connections, view, waitQueue, quarantine, limits, zoneId, random, logger, metrics, holdsLease: lease.holds, lostCoreRetryMs: lease.retryMs,
 		allowance: allowance.of, sendRate: sendRate.of, objectives: objectives.of, spareCapacity: spareCapacity.of,
 		entryCount: () => entryCount,
-		remainingGraceMs: () => exitsAtMs - shutdownReserveMs - steadyNowMs(),
-		nowMs: steadyNowMs,
+		remainingGraceMs: () => exitsAtMs - shutdownReserveMs - monotonicNowMs(),
+		nowMs: monotonicNowMs,
 		retryReserve: () => bounds.retryReserve / entryCount,
 		dues: versions.dues,
 	};
 	const waitWhile = async (isMissing: () => boolean, maxMs: number): Promise<void> => {
-		const untilMs = steadyNowMs() + maxMs;
-		while (isMissing() && steadyNowMs() < untilMs) {
+		const untilMs = monotonicNowMs() + maxMs;
+		while (isMissing() && monotonicNowMs() < untilMs) {
 			await waitQueue.nextCheck();
 		}
 	};
@@ -158,8 +158,8 @@
 	const front = await createFrontServer({
 		listen: options.listen,
 		serve: async (request, response, connection) => serveRequest({
-			patience: patience.of,
-			protocol, random, logger, metrics, holdsLease: lease.holds, lostCoreRetryMs: lease.retryMs, table: configuration.table, isLeaving: () => isLeaving, nowMs: steadyNowMs,
+			firstAttemptDeadlines: firstAttemptDeadlines.of,
+			protocol, random, logger, metrics, holdsLease: lease.holds, lostCoreRetryMs: lease.retryMs, table: configuration.table, isLeaving: () => isLeaving, nowMs: monotonicNowMs,
 			run: async call => runCall(context, call),
 			awaitConfiguration: async maxMs => waitWhile(() => configuration.table() === null, maxMs),
 			awaitLease: async maxMs => waitWhile(() => !lease.hasHeld() && !lease.holds(), maxMs),
@@ -174,8 +174,8 @@
 			configuration.applyIfNewer(document);
 			lease.applyRenewals();
 		},
-		onResult(result, askedAtMs) {
-			const nowMs = steadyNowMs();
+		onResult(result, requestedAtMs) {
+			const nowMs = monotonicNowMs();
 			view.recordAnnouncements(result.announcements, nowMs);
 			versions.recordResult(result, nowMs);
 			if (result.roster !== null) {
@@ -186,20 +186,20 @@
 			}
 
 			if (result.freshAgeMs !== null) {
-				lease.recordRenewal({number: result.configurationNumber, freshAtMs: askedAtMs - result.freshAgeMs});
+				lease.recordRenewal({number: result.configurationNumber, freshAtMs: requestedAtMs - result.freshAgeMs});
 			}
 		},
 	});
 	const listener = await createLoadListener({
 		listen: selfAddress,
 		onReport(loadReport) {
-			view.recordReport(loadReport, steadyNowMs());
+			view.recordReport(loadReport, monotonicNowMs());
 			if (loadReport.report === null) {
 				quarantine.recordExit(loadReport.endpointAddress);
 			}
 		},
 		onMessage(message) {
-			relay.receive(message, steadyNowMs());
+			relay.receive(message, monotonicNowMs());
 		},
 		onOtherDatagram: data => quarantine.receive(data) || limits.receive(data),
 		onError(error) {
@@ -209,7 +209,7 @@
 
 	const relay = createLoadRelay({plan: () => relayPlan, delayMs: view.pathDelayMs, send: listener.send});
 	const relaying = setInterval(() => {
-		relay.tick(steadyNowMs());
+		relay.tick(monotonicNowMs());
 	}, relayIntervalMs);
 
 	const isReady = (): boolean => {
@@ -230,7 +230,7 @@
 		},
 	});
 	const pruning = setInterval(() => {
-		view.prune(steadyNowMs());
+		view.prune(monotonicNowMs());
 	}, pruneMs);
 	metrics.gauge('open_requests', 'Requests that are being answered.', front.openRequests);
 	metrics.gauge('waiting_requests', 'Requests that wait for an endpoint.', waitQueue.count);
--- a/packages/gateway/src/entry/finish-call.ts
+++ b/packages/gateway/src/entry/finish-call.ts
@@ -54,7 +54,7 @@
 		beginAnswer(response, head, {'content-length': body.length});
 		response.end(body);
 	} else if (response.headersSent) {
-		// Another endpoint was to resume the stream but did not answer with a stream: the caller must see that the stream was cut off.
+		// Another endpoint was to resume the stream but did not answer with a stream: the caller must see that the stream is incomplete.
 		response.destroy();
 	}
 };
--- a/packages/gateway/src/entry/judge-attempt.ts
+++ b/packages/gateway/src/entry/judge-attempt.ts
@@ -61,7 +61,7 @@
 		case 'aborted': {
 			progress.sent++;
 			progress.mayHaveRun = true;
-			endAborted(context, call, progress);
+			failAborted(context, call, progress);
 			return true;
 		}
 	}
@@ -74,7 +74,7 @@
 	}
 };
 
-const endAborted = (context: CallContext, call: Call, progress: CallProgress): void => {
+const failAborted = (context: CallContext, call: Call, progress: CallProgress): void => {
 	const verdict = context.quarantine.verdictOn(call);
 	if (verdict === null) {
 		failCall(context, call, progress, 'the deadline passed');
--- a/packages/gateway/src/entry/serve-request.ts
+++ b/packages/gateway/src/entry/serve-request.ts
@@ -29,7 +29,7 @@
 	/** Whether the process is shutting down; connections are then closed after the current answer. */
 	isLeaving(): boolean;
 	/** Deadlines of first attempts on a route, from which caller retries are recognized. */
-	patience(routeName: string): FirstAttemptDeadlines;
+	firstAttemptDeadlines(routeName: string): FirstAttemptDeadlines;
 	run(call: Call): Promise<void>;
 	nowMs(): number;
 };
@@ -112,7 +112,7 @@
 	}
 
 	const {route} = matched;
-	if (!isCallerRetry(context.patience(route.name), {deadlineMs, timeoutMs: route.timeoutMs})) {
+	if (!isCallerRetry(context.firstAttemptDeadlines(route.name), {deadlineMs, timeoutMs: route.timeoutMs})) {
 		return matched;
 	}
 
@@ -150,9 +150,9 @@
 
 	const {route, team, key} = matched;
 	const deadlineMs = callerDeadlineMs(context, request);
-	const patience = context.patience(route.name);
+	const firstAttemptDeadlines = context.firstAttemptDeadlines(route.name);
 	if (isReused && Number.isFinite(deadlineMs)) {
-		recordFirstDeadline(patience, deadlineMs);
+		recordFirstDeadline(firstAttemptDeadlines, deadlineMs);
 	}
 
 	const deadlineAtMs = receivedAtMs + Math.min(route.timeoutMs, deadlineMs);
@@ -179,7 +179,7 @@
 	const tokens = protocol.readTokens(request.headers);
 	await context.run({
 		requestId: String(request.headers[protocol.headers.requestId] ?? ''), request, response, route, service, team, body, requiresKey: key !== null, receivedAtMs, deadlineAtMs, cancellation,
-		promptTokens: tokens.prompt, answerTokenLimit: tokens.maxAnswer, hasComeBack: !isReused && isCallerRetry(patience, {deadlineMs, timeoutMs: route.timeoutMs}),
+		promptTokens: tokens.prompt, answerTokenLimit: tokens.maxAnswer, hasComeBack: !isReused && isCallerRetry(firstAttemptDeadlines, {deadlineMs, timeoutMs: route.timeoutMs}),
 		outline: memoize(() => outlineOf(identity)), fingerprint: memoize(() => fingerprintOf(identity)),
 		isKeyInForce: () => key === null || context.table()?.teamsByKey.get(key)?.name === team?.name,
 	});
--- a/packages/gateway/src/limits/endpoint-limits.ts
+++ b/packages/gateway/src/limits/endpoint-limits.ts
@@ -109,11 +109,11 @@
 		limitedCount = [...ledger.limits.values()].filter(({perSecond}) => perSecond !== null).length;
 	};
 
-	const applyChange = ({start, previousPerSecond, previousSinceMs, known: {perSecond, receivedAtMs: heardAtMs}}: LimitChange, source: 'answer' | 'entry' | 'release', address?: string): void => {
+	const applyChange = ({start, previousPerSecond, previousSinceMs, known: {perSecond, receivedAtMs}}: LimitChange, source: 'answer' | 'entry' | 'release', address?: string): void => {
 		countLimited();
 		metrics.count('limit_changes', 'Limits that endpoints named, changed and lifted.');
 		const fields = {
-			endpointId: endpointIdIn(start), address, previousPerSecond, source, ageMs: Math.round(nowMs() - heardAtMs),
+			endpointId: endpointIdIn(start), address, previousPerSecond, source, ageMs: Math.round(nowMs() - receivedAtMs),
 		};
 		if (perSecond === null) {
 			exchange.remove(start);
--- a/packages/gateway/src/limits/limit-message.ts
+++ b/packages/gateway/src/limits/limit-message.ts
@@ -30,7 +30,7 @@
 type EncodedLimit = z.infer<typeof limitSchema>;
 
 /** Encodes times as ages, because the clocks of hosts differ. */
-const encodeLimit = ({start, perSecond, advertisedAtMs: heardAtMs}: SharedLimit, nowMs: number): EncodedLimit => [start, perSecond, Math.max(0, Math.round(nowMs - heardAtMs))];
+const encodeLimit = ({start, perSecond, advertisedAtMs}: SharedLimit, nowMs: number): EncodedLimit => [start, perSecond, Math.max(0, Math.round(nowMs - advertisedAtMs))];
 
 const decodeLimit = ([start, perSecond, ageMs]: EncodedLimit, nowMs: number): SharedLimit => ({start, perSecond, advertisedAtMs: nowMs - ageMs});
 
--- a/packages/gateway/src/load/load-relay.ts
+++ b/packages/gateway/src/load/load-relay.ts
@@ -53,12 +53,12 @@
 	};
 
 	const sendLocally = (nowMs: number): void => {
-		const fresh = [...tracked.values()].filter(({isRelayed}) => !isRelayed);
-		for (const each of fresh) {
+		const unrelayed = [...tracked.values()].filter(({isRelayed}) => !isRelayed);
+		for (const each of unrelayed) {
 			each.isRelayed = true;
 		}
 
-		sendAll('passed', fresh, plan().localAddresses, nowMs);
+		sendAll('passed', unrelayed, plan().localAddresses, nowMs);
 	};
 
 	return {
--- a/packages/gateway/src/load/load-report.ts
+++ b/packages/gateway/src/load/load-report.ts
@@ -40,17 +40,17 @@
 const messageSchema = z.tuple([z.number().int().min(0).max(kinds.length - 1), z.array(itemSchema)]);
 type Item = z.infer<typeof itemSchema>;
 
-const encodeItem = ({epoch, sequence, endpointAddress, report, delivery: way}: LoadReport): Item => [
+const encodeItem = ({epoch, sequence, endpointAddress, report, delivery}: LoadReport): Item => [
 	endpointAddress,
 	epoch,
 	sequence,
-	...(way.type === 'direct' ? [deliveryCodes.direct, Math.round(way.sentAtMs), 0] as const : [deliveryCodes.relayed, Math.round(way.ageMs), Math.round(way.delayMs)] as const),
+	...(delivery.type === 'direct' ? [deliveryCodes.direct, Math.round(delivery.sentAtMs), 0] as const : [deliveryCodes.relayed, Math.round(delivery.ageMs), Math.round(delivery.delayMs)] as const),
 	report === null
 		? null
 		: [report.running, report.queued, Math.round(report.pace * paceScale), report.isBusy, report.isStrained, report.version, report.readyInMs],
 ];
 
-const decodeDelivery = (way: Item[3], timeMs: number, delayMs: number): ReportDelivery => way === deliveryCodes.direct
+const decodeDelivery = (deliveryCode: Item[3], timeMs: number, delayMs: number): ReportDelivery => deliveryCode === deliveryCodes.direct
 	? {type: 'direct', sentAtMs: timeMs}
 	: {type: 'relayed', ageMs: timeMs, delayMs};
 
@@ -58,8 +58,8 @@
 	running, queued, pace: pace / paceScale, isBusy, isStrained, version, readyInMs,
 });
 
-const decodeItem = ([endpointAddress, epoch, sequence, way, timeMs, delayMs, fields]: Item): LoadReport => ({
-	endpointAddress, epoch, sequence, delivery: decodeDelivery(way, timeMs, delayMs), report: fields === null ? null : decodeReport(fields),
+const decodeItem = ([endpointAddress, epoch, sequence, deliveryCode, timeMs, delayMs, fields]: Item): LoadReport => ({
+	endpointAddress, epoch, sequence, delivery: decodeDelivery(deliveryCode, timeMs, delayMs), report: fields === null ? null : decodeReport(fields),
 });
 
 export const encodeLoadMessage = ({kind, reports}: LoadMessage): Uint8Array => encode([kinds.indexOf(kind), reports.map(report => encodeItem(report))]);
--- a/packages/gateway/src/load/relay-plan.ts
+++ b/packages/gateway/src/load/relay-plan.ts
@@ -14,7 +14,7 @@
 /**
  * Number of entries per zone that relay its reports, each to a different relay of every
  * other zone. With a single one, a stall of its process would make the engines of its
- * zone look silent to all other zones for the 2 s until it is removed from the roster.
+ * zone appear silent to all other zones for the 2 s until it is removed from the roster.
  */
 export const relaysPerZone = 2;
 
--- a/packages/gateway/src/quarantine/request-quarantine.ts
+++ b/packages/gateway/src/quarantine/request-quarantine.ts
@@ -53,7 +53,7 @@
 
 export const createRequestQuarantine = ({peers, send, logger, metrics, random, nowMs}: RequestQuarantineOptions): RequestQuarantine => {
 	const ledger = createCrashLedger();
-	const broken = createBrokenAttempts();
+	const brokenAttempts = createBrokenAttempts();
 	const watchers = new Set<Watcher>();
 
 	const isKnown = (request: QuarantinedRequest): boolean => !isEmpty(ledger) && mayHaveRecords(ledger, request.outline());
@@ -119,15 +119,15 @@
 			const attempt = {
 				fingerprint: request.fingerprint(), address, atMs: nowMs(), stage,
 			};
-			if (recordBrokenAttempt(broken, attempt)) {
+			if (recordBrokenAttempt(brokenAttempts, attempt)) {
 				recordOwn([attempt]);
 			}
 		},
 		recordExit(address) {
-			recordOwn(confirmExit(broken, address, nowMs()));
+			recordOwn(confirmExit(brokenAttempts, address, nowMs()));
 		},
 		recordRestart(address) {
-			recordOwn(confirmRestart(broken, address, nowMs()));
+			recordOwn(confirmRestart(brokenAttempts, address, nowMs()));
 		},
 		recordCompletion(request) {
 			if (!isKnown(request)) {
--- a/packages/gateway/test/endpoint-view.test.ts
+++ b/packages/gateway/test/endpoint-view.test.ts
@@ -28,7 +28,7 @@
 };
 
 // Guards against sending requests to a replaced start of an endpoint: load reports are
-// matched by address, so the previous start still looks alive.
+// matched by address, so the previous start still appears to be running.
 t.test('a start that was replaced at its address receives no requests', async t => {
 	const {view, restarts, receiveReport, usable} = create();
 	view.recordAnnouncements([announced('before')], 0);
@@ -55,7 +55,7 @@
 });
 
 // Guards against a delayed announcement of a start that had exited and was never known here:
-// it looks like the newest start at its address.
+// it appears to be the newest start at its address.
 t.test('a delayed announcement of an unknown start takes an address only until the endpoint there announces itself again', async t => {
 	const {view, receiveReport, usable} = create();
 	view.recordAnnouncements([announced('runs')], 0);
--- a/packages/gateway/test/entry-node.test.ts
+++ b/packages/gateway/test/entry-node.test.ts
@@ -117,7 +117,7 @@
 
 // Guards against refusing all requests after a step of the wall clock: only the lease may use that
 // clock, where a step costs one request to the core. Otherwise the reports of every engine would
-// look seconds old.
+// appear seconds old.
 t.test('no request is refused after a step of the wall clock', async t => {
 	const {call, stepClockMs} = await deploy(t, stream);
 	stepClockMs(2400);
@@ -261,10 +261,10 @@
 	t.equal((await call('in-time', undefined, 600)).status, 200);
 });
 
-// Guards against cutting off a stream at shutdown: after the stop signal, a caller sends a request on
+// Guards against aborting a stream at shutdown: after the stop signal, a caller sends a request on
 // its open connection whose answer takes longer than the rest of the grace period. Refused as not run,
 // the request can be sent to another entry at once.
-t.test('an entry that is shutting down starts no request that it would cut off', async t => {
+t.test('an entry that is shutting down starts no request that it would abort', async t => {
 	const started: string[] = [];
 	const {front, entryNode} = await deploy(t, (request, response) => {
 		started.push(String(request.headers['x-id']));
--- a/packages/gateway/test/event-splitter.test.ts
+++ b/packages/gateway/test/event-splitter.test.ts
@@ -21,7 +21,7 @@
 
 // Guards against forwarding part of an event: an endpoint crashes in the middle of its third
 // event. The caller must get two events, and the next endpoint resumes after the second.
-t.test('an incomplete event is held back', async t => {
+t.test('an incomplete event is withheld', async t => {
 	const splitter = createEventSplitter();
 	t.equal(push(splitter, 'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda'), 'id: 1\ndata: a\n\nid: 2\ndata: b\n\n');
 	t.equal(splitter.lastId(), '2');
--- a/packages/gateway/test/load-relay.test.ts
+++ b/packages/gateway/test/load-relay.test.ts
@@ -53,10 +53,10 @@
 			sent.push(message);
 		},
 	});
-	return {relay, sentReports: () => sent.map(({kind, reports}) => [kind, reports.map(({endpointAddress, delivery: way}) => [endpointAddress, way.type === 'relayed' ? way.ageMs : null])])};
+	return {relay, sentReports: () => sent.map(({kind, reports}) => [kind, reports.map(({endpointAddress, delivery}) => [endpointAddress, delivery.type === 'relayed' ? delivery.ageMs : null])])};
 };
 
-// Guards against relaying an outdated report while an agent is stalled: the engine would look
+// Guards against relaying an outdated report while an agent is stalled: the engine would appear
 // idle to all other zones for the duration of the stall.
 t.test('a digest contains the ages of its reports and omits outdated ones', async t => {
 	const {relay, sentReports} = relayWith(false);
--- a/packages/gateway/test/permit-exchange.test.ts
+++ b/packages/gateway/test/permit-exchange.test.ts
@@ -85,11 +85,11 @@
 	}
 });
 
-type Fault = 'restart' | 'freeze' | 'cut';
+type Fault = 'restart' | 'suspend' | 'cut';
 
 const beginFault = (entry: PermitEntry, fault: Fault): void => {
 	if (fault === 'cut') {
-		entry.isCut = true;
+		entry.isPartitioned = true;
 	} else {
 		entry.isRunning = false;
 	}
@@ -102,13 +102,13 @@
 			break;
 		}
 
-		case 'freeze': {
+		case 'suspend': {
 			entry.isRunning = true;
 			break;
 		}
 
 		case 'cut': {
-			entry.isCut = false;
+			entry.isPartitioned = false;
 			break;
 		}
 	}
@@ -125,7 +125,7 @@
 	}
 };
 
-/** Delays until the other entries remove an unreachable entry from their peers, and add it again after it is back. */
+/** Delays until the other entries remove an unreachable entry from their peers, and add it again after it recovers. */
 const rosterDelayMs = {removed: 2500, restored: 500} as const;
 
 type FaultEvent = {readonly atMs: number; run(): void};
@@ -134,16 +134,16 @@
 const drawFaults = (fleet: PermitFleet): FaultEvent[] => {
 	const {random, entries} = fleet;
 	const events: FaultEvent[] = [];
-	const freeAtMs = new Map<PermitEntry, number>();
+	const nextFaultAtMs = new Map<PermitEntry, number>();
 	for (let atMs = 2000; atMs < 50_000; atMs += random.between(1000, 4000)) {
 		const entry = entries[random.between(0, entries.length - 1)]!;
-		const fault = (['restart', 'freeze', 'cut'] as const)[random.between(0, 2)]!;
+		const fault = (['restart', 'suspend', 'cut'] as const)[random.between(0, 2)]!;
 		const endMs = atMs + random.between(200, 5000);
-		if (atMs < (freeAtMs.get(entry) ?? 0)) {
+		if (atMs < (nextFaultAtMs.get(entry) ?? 0)) {
 			continue;
 		}
 
-		freeAtMs.set(entry, endMs + 2000);
+		nextFaultAtMs.set(entry, endMs + 2000);
 		const at = (eventMs: number, run: () => void): void => {
 			events.push({atMs: eventMs, run});
 		};
@@ -167,7 +167,7 @@
 	return events.toSorted((a, b) => a.atMs - b.atMs);
 };
 
-// Guards against exceeding the limit under overlapping restarts, freezes and cuts, including the issuer's, with datagram loss and moving demand.
+// Guards against exceeding the limit under overlapping restarts, suspensions and network partitions, including the issuer's, with datagram loss and moving demand.
 t.test('all entries together stay within the limit under random schedules of faults', async t => {
 	const shares: number[] = [];
 	for (let seed = 1; seed <= 60; seed++) {
--- a/packages/gateway/test/request-limits.test.ts
+++ b/packages/gateway/test/request-limits.test.ts
@@ -13,8 +13,8 @@
 /** Requests that an endpoint may receive in a window: 1.5 times its limit plus 5. */
 const allowedIn = (perSecond: number): number => Math.ceil((1.5 * perSecond * windowMs / 1000) + 5);
 
-/** Sends requests at a steady rate, each to the entry that `entryOf` returns, and waits for their answers. */
-const sendSteadily = async (fleet: CrashingFleet, {perSecond, forMs, entryOf}: {perSecond: number; forMs: number; entryOf(index: number): number}): Promise<number[]> => {
+/** Sends requests at a constant rate, each to the entry that `entryOf` returns, and waits for their answers. */
+const sendAtConstantRate = async (fleet: CrashingFleet, {perSecond, forMs, entryOf}: {perSecond: number; forMs: number; entryOf(index: number): number}): Promise<number[]> => {
 	const calls: Array<Promise<number>> = [];
 	const startedAtMs = performance.now();
 	for (let index = 0; performance.now() - startedAtMs < forMs; index++) {
@@ -38,10 +38,10 @@
 	const fleet = await createCrashingFleet(t, {
 		entryCount, engineCount: 3, behaviorOf, answerHeaders: engine => state.isLimited && engine === 0 ? {'x-limit': String(perSecond)} : {},
 	});
-	await sendSteadily(fleet, {perSecond: 40, forMs: 1000, entryOf: index => index % entryCount});
+	await sendAtConstantRate(fleet, {perSecond: 40, forMs: 1000, entryOf: index => index % entryCount});
 	state.isLimited = true;
 	const advertisedAtMs = performance.now();
-	const statuses = await sendSteadily(fleet, {perSecond: 40, forMs: propagationMs + windowMs + 1500, entryOf: index => index % entryCount});
+	const statuses = await sendAtConstantRate(fleet, {perSecond: 40, forMs: propagationMs + windowMs + 1500, entryOf: index => index % entryCount});
 	const max = maxInWindow(fleet, 0, advertisedAtMs + propagationMs);
 	t.ok(max <= allowedIn(perSecond), `${max} requests in ${windowMs} ms, ${allowedIn(perSecond)} allowed`);
 	t.ok(max >= perSecond * windowMs / 2000, 'at least half of the limit is used');
@@ -55,7 +55,7 @@
 	});
 	const send = async (forMs: number): Promise<number> => {
 		const startedAtMs = performance.now();
-		await sendSteadily(fleet, {perSecond: 40, forMs, entryOf: index => index % 3});
+		await sendAtConstantRate(fleet, {perSecond: 40, forMs, entryOf: index => index % 3});
 		return startedAtMs;
 	};
 
@@ -99,11 +99,11 @@
 	const fleet = await createCrashingFleet(t, {
 		entryCount: 2, engineCount: 2, behaviorOf, answerHeaders: engine => engine === 0 ? {'x-limit': '0'} : {},
 	});
-	await sendSteadily(fleet, {perSecond: 20, forMs: 500, entryOf: () => 0});
+	await sendAtConstantRate(fleet, {perSecond: 20, forMs: 500, entryOf: () => 0});
 	await fleet.restartEntry(1);
 	await delay(propagationMs);
 	const before = fleet.arrivals.filter(({engine}) => engine === 0).length;
-	const statuses = await sendSteadily(fleet, {perSecond: 20, forMs: 1000, entryOf: () => 1});
+	const statuses = await sendAtConstantRate(fleet, {perSecond: 20, forMs: 1000, entryOf: () => 1});
 	t.ok(fleet.arrivals.filter(({engine}) => engine === 0).length - before <= 2);
 	t.same(statuses.filter(status => status !== 200), []);
 });
--- a/packages/gateway/test/retry-after.test.ts
+++ b/packages/gateway/test/retry-after.test.ts
@@ -9,8 +9,8 @@
 
 const entryOf = (requestId: string): number => Number(requestId.split('-', 1)[0]);
 
-/** Sends requests to the entries in turn at a steady rate; each request id begins with the index of the entry. */
-const sendSteadily = async (fleet: CrashingFleet, {perSecond, forMs, entryCount}: {perSecond: number; forMs: number; entryCount: number}): Promise<CallAnswer[]> => {
+/** Sends requests to the entries in turn at a constant rate; each request id begins with the index of the entry. */
+const sendAtConstantRate = async (fleet: CrashingFleet, {perSecond, forMs, entryCount}: {perSecond: number; forMs: number; entryCount: number}): Promise<CallAnswer[]> => {
 	const calls: Array<Promise<CallAnswer>> = [];
 	const startedAtMs = performance.now();
 	for (let index = 0; performance.now() - startedAtMs < forMs; index++) {
@@ -37,16 +37,16 @@
 		entryCount, engineCount: 3, behaviorOf: (_body, _headers, engine) => isRefusing(engine) ? {type: 'refuse', status: 503} : {type: 'stream', pauseMs: 10},
 		answerHeaders: engine => isRefusing(engine) ? {'retry-after': String(pauseMs / 1000)} : {},
 	});
-	await sendSteadily(fleet, {perSecond: 40, forMs: 500, entryCount});
+	await sendAtConstantRate(fleet, {perSecond: 40, forMs: 500, entryCount});
 	state.isOverloaded = true;
 	const overloadedAtMs = performance.now();
-	const answers = await sendSteadily(fleet, {perSecond: 40, forMs: 5000, entryCount});
+	const answers = await sendAtConstantRate(fleet, {perSecond: 40, forMs: 5000, entryCount});
 	const max = peakDuringPause(fleet, 0, overloadedAtMs);
 	t.ok(max <= maxDuringPause, `${max} requests within a pause of ${pauseMs} ms, ${maxDuringPause} allowed`);
 	t.same(answers.filter(({status}) => status !== 200), [], 'the other endpoints serve all');
 	state.isOverloaded = false;
 	const recoveredAtMs = performance.now();
-	await sendSteadily(fleet, {perSecond: 40, forMs: pauseMs + 1000, entryCount});
+	await sendAtConstantRate(fleet, {perSecond: 40, forMs: pauseMs + 1000, entryCount});
 	t.ok(fleet.arrivals.some(({engine, atMs}) => engine === 0 && atMs > recoveredAtMs), 'the endpoint is used again');
 });
 
@@ -54,10 +54,10 @@
 	const fleet = await createCrashingFleet(t, {
 		engineCount: 2, behaviorOf: body => body === 'first' ? {type: 'stream', pauseMs: 10} : {type: 'refuse', status: 503}, answerHeaders: () => ({'retry-after': '3'}),
 	});
-	await sendSteadily(fleet, {perSecond: 20, forMs: 200, entryCount: 1});
+	await sendAtConstantRate(fleet, {perSecond: 20, forMs: 200, entryCount: 1});
 	await delay(inFlightMs);
 	const arrivalCountBefore = fleet.arrivals.length;
-	const answers = await sendSteadily(fleet, {perSecond: 20, forMs: 1000, entryCount: 1});
+	const answers = await sendAtConstantRate(fleet, {perSecond: 20, forMs: 1000, entryCount: 1});
 	t.equal(fleet.arrivals.length, arrivalCountBefore, 'nothing is sent to the endpoints');
 	t.ok(answers.every(({status, headers, text}) => status === 503 && Number(headers['retry-after']) >= 1 && text.includes('pause')));
 });
--- a/packages/gateway/test/serve-request.test.ts
+++ b/packages/gateway/test/serve-request.test.ts
@@ -35,19 +35,19 @@
 	isLeaving: () => false,
 };
 
-/** Starts an entry with the configuration of a snapshot; `learned` is the configuration that it then receives from the core. */
-const start = async (t: Test, learned: RouteTable) => {
+/** Starts an entry with the configuration of a snapshot; `received` is the configuration that it then receives from the core. */
+const start = async (t: Test, received: RouteTable) => {
 	const state = {table: tableWith(1, ['k']), holdsLease: false};
 	const keysInForce: boolean[] = [];
 	const waits: number[] = [];
-	const patience = createFirstAttemptDeadlines();
+	const firstAttemptDeadlines = createFirstAttemptDeadlines();
 	const context: ServeContext = {
 		protocol, random: createRandom(1), logger: silentLogger, metrics: createGatewayMetrics(), nowMs: () => performance.now(),
-		table: () => state.table, holdsLease: () => state.holdsLease, lostCoreRetryMs: () => 2000, isLeaving: () => false, patience: () => patience,
+		table: () => state.table, holdsLease: () => state.holdsLease, lostCoreRetryMs: () => 2000, isLeaving: () => false, firstAttemptDeadlines: () => firstAttemptDeadlines,
 		awaitConfiguration: async () => undefined,
 		async awaitLease(maxMs) {
 			waits.push(maxMs);
-			state.table = learned;
+			state.table = received;
 			state.holdsLease = true;
 		},
 		async run(call) {
--- a/packages/gateway/test/support/crashing-fleet.ts
+++ b/packages/gateway/test/support/crashing-fleet.ts
@@ -354,20 +354,20 @@
 		await delay(30);
 	}
 
-	const settle = async (entry: number): Promise<void> => {
+	const awaitFirstAnswer = async (entry: number): Promise<void> => {
 		while (!entries[entry]!.isReady() || (await call('first', 'first', {entry})).status !== 200) {
 			await delay(30);
 		}
 	};
 
-	await Promise.all(entries.map(async (_, index) => settle(index)));
+	await Promise.all(entries.map(async (_, index) => awaitFirstAnswer(index)));
 	return {
 		arrivals, ends, entries, call, crash,
 		async restartEntry(entry) {
 			entries[entry]!.close();
 			await delay(50);
 			entries[entry] = await createEntry(entry);
-			await settle(entry);
+			await awaitFirstAnswer(entry);
 		},
 		arrivalsOf: body => arrivals.filter(arrival => arrival.body === body),
 	};
--- a/packages/gateway/test/support/permit-fleet.ts
+++ b/packages/gateway/test/support/permit-fleet.ts
@@ -13,7 +13,7 @@
 	peers: string[];
 	isRunning: boolean;
 	/** Neither sends nor receives messages of other entries. */
-	isCut: boolean;
+	isPartitioned: boolean;
 	/** Rate of the requests that it receives. */
 	demandPerSecond: number;
 	/** Messages received and not yet handled. */
@@ -58,7 +58,7 @@
 		selfAddress: address, peers: () => entry().peers, random, nowMs: () => nowMs, onIssuerChange: () => undefined, onQueued: () => undefined,
 		limitOf: start => ({start, perSecond: perSecond(nowMs), advertisedAtMs: nowMs}),
 		send(message, [to]) {
-			if (!entry().isCut && randomFraction(random) >= lossShare) {
+			if (!entry().isPartitioned && randomFraction(random) >= lossShare) {
 				messages.push({to: to!, message, dueMs: nowMs + random.between(minDelayMs, maxDelayMs)});
 			}
 		},
@@ -66,7 +66,7 @@
 
 	const entries = addresses.map((address): PermitEntry => {
 		const entry: PermitEntry = {
-			address, exchange: createExchange(() => entry, address), peers: addresses.filter(other => other !== address), isRunning: true, isCut: false, demandPerSecond: 0, inbox: [],
+			address, exchange: createExchange(() => entry, address), peers: addresses.filter(other => other !== address), isRunning: true, isPartitioned: false, demandPerSecond: 0, inbox: [],
 		};
 		return entry;
 	});
@@ -84,7 +84,7 @@
 		messages = messages.filter(({dueMs}) => dueMs > nowMs);
 		for (const {to, message} of due) {
 			const entry = entries.find(({address}) => address === to)!;
-			if (!entry.isCut) {
+			if (!entry.isPartitioned) {
 				entry.inbox.push(message);
 			}
 		}
