--- a/packages/bench/src/fleet-cost/fleet-cost.ts
+++ b/packages/bench/src/fleet-cost/fleet-cost.ts
@@ -28,7 +28,7 @@
 
 const roles: readonly Role[] = ['entry', 'core', 'agent'];
 const startMs = 4000;
-const steadyMs = 8000;
+const steadyStateMs = 8000;
 const msPerSecond = 1000;
 const bytesPerMegabyte = 1_048_576;
 /** The flags of the deployed roles. */
@@ -50,7 +50,7 @@
 	try {
 		await delay(startMs);
 		const start = await readUsage(child.pid!);
-		await delay(steadyMs);
+		await delay(steadyStateMs);
 		const end = await readUsage(child.pid!);
 		const {residentBytes} = await readMemory(child.pid!);
 		return {start, end, residentMb: residentBytes / bytesPerMegabyte};
@@ -94,9 +94,9 @@
 	});
 	try {
 		const {start, end, residentMb} = await measureProcess([...nodeFlags, program, JSON.stringify(settings)], profileFolder);
-		const cores = (end.processorMs - start.processorMs) / steadyMs;
+		const cores = (end.processorMs - start.processorMs) / steadyStateMs;
 		return {
-			engineCount, cores: round(cores, 4), bytesPerSecond: Math.round((end.transferBytes - start.transferBytes) * msPerSecond / steadyMs),
+			engineCount, cores: round(cores, 4), bytesPerSecond: Math.round((end.transferBytes - start.transferBytes) * msPerSecond / steadyStateMs),
 			startS: round((start.processorMs - emptyNodeMs - (cores * startMs)) / msPerSecond, 3), residentMb: round(residentMb, 1),
 		};
 	} finally {
--- a/packages/bench/src/fleet-cost/fleet.ts
+++ b/packages/bench/src/fleet-cost/fleet.ts
@@ -88,8 +88,8 @@
 	const socket = createSendingSocket();
 	const sender = createLoadSender(createDatagramSender(socket));
 	let sequence = 0;
-	const reportOf = (index: number, way: ReportDelivery): LoadReport => ({
-		epoch: 1, sequence, endpointAddress: endpointAddressOf(index), delivery: way, report: {
+	const reportOf = (index: number, delivery: ReportDelivery): LoadReport => ({
+		epoch: 1, sequence, endpointAddress: endpointAddressOf(index), delivery, report: {
 			running: (sequence + index) % slots, queued: 0, pace: 1, isBusy: false, isStrained: false, version: 1, readyInMs: null,
 		},
 	});
--- a/packages/bench/src/routing/limit-simulation.ts
+++ b/packages/bench/src/routing/limit-simulation.ts
@@ -99,14 +99,14 @@
 		}
 
 		const wasJoined = entry.shares.isJoined;
-		const asks = tickShares(entry.shares, teamUsages(entry.admission), nowMs);
+		const shareRequests = tickShares(entry.shares, teamUsages(entry.admission), nowMs);
 		apply(entry);
 		if (!wasJoined && entry.shares.isJoined && countEntries(entry.shares) === 1) {
 			fillBuckets(entry.admission);
 		}
 
-		for (const ask of policy === 'lending' ? asks : []) {
-			send(entry, ask);
+		for (const shareRequest of policy === 'lending' ? shareRequests : []) {
+			send(entry, shareRequest);
 		}
 
 		schedule(tickMs, () => {
