--- a/packages/coordination/src/admission/entry-shares.ts
+++ b/packages/coordination/src/admission/entry-shares.ts
@@ -11,11 +11,11 @@
 	readonly loanMs?: number;
 	/** Added to that by the lender, to allow for clock drift and delayed ticks. @default 500 */
 	readonly marginMs?: number;
-	/** An entry that control has not listed for this long gives up its share. @default 12000 */
+	/** An entry that control has not listed for this long releases its share. @default 12000 */
 	readonly unlistedTimeoutMs?: number;
 	/** @default 1000 */
 	readonly requestIntervalMs?: number;
-	/** Maximum number of entries asked for a loan at the same time. @default 16 */
+	/** Maximum number of entries requested for a loan at the same time. @default 16 */
 	readonly maxLenders?: number;
 };
 
@@ -119,7 +119,7 @@
 	}
 };
 
-/** After this time an entry that cannot reach control has given up its share, and its most recent loans have expired. */
+/** After this time an entry that cannot reach control has released its share, and its most recent loans have expired. */
 const removalDelayMs = ({unlistedTimeoutMs, loanMs, marginMs}: Required<EntrySharesOptions>): number => unlistedTimeoutMs + loanMs + marginMs;
 
 const removeExpiredMembers = ({members, options}: EntryShares, nowMs: number): void => {
@@ -231,7 +231,7 @@
 		return;
 	}
 
-	// By then an entry that does not answer has either learned of this entry from control or lost contact with control and given up its share.
+	// By then an entry that does not answer has either learned of this entry from control or lost contact with control and released its share.
 	const isOverdue = nowMs - listedSinceMs >= removalDelayMs(options);
 	state.isJoined = [...members.values()].every(({readyAtMs}) => readyAtMs === null ? isOverdue : readyAtMs <= nowMs);
 };
--- a/packages/coordination/src/admission/loans.ts
+++ b/packages/coordination/src/admission/loans.ts
@@ -132,7 +132,7 @@
 	readonly nowMs: number;
 };
 
-/** Current lenders first, then the other members in round-robin order, so that every entry is asked eventually. */
+/** Current lenders first, then the other members in round-robin order, so that every entry receives a request eventually. */
 const chooseLenders = (loans: Loans, {memberIds, maxLenders, nowMs}: LoanPlan): string[] => {
 	const isLending = (entryId: string): boolean => {
 		const loan = loans.borrowed.get(entryId);
--- a/packages/coordination/src/admission/service-rate.ts
+++ b/packages/coordination/src/admission/service-rate.ts
@@ -29,7 +29,7 @@
 
 const movingAverage = (average: number | null, sample: number, weight: number): number => average === null ? sample : average + (weight * (sample - average));
 
-/** The expected duration grows with the cost up to this multiple of the mean cost; finished requests say little about larger ones. */
+/** The expected duration grows with the cost up to this multiple of the mean cost; finished requests do not predict larger ones. */
 const maxCostRatio = 4;
 
 /**
--- a/packages/coordination/src/burn/burn-counter.ts
+++ b/packages/coordination/src/burn/burn-counter.ts
@@ -107,9 +107,9 @@
 	Object.assign(last, addCounts(last, countsFromSample(sample)));
 };
 
-const countsFromSample = ({isComplete: isWhole, firstTokenMs, firstTokenBoundMs}: BurnSample): BurnCounts => ({
+const countsFromSample = ({isComplete, firstTokenMs, firstTokenBoundMs}: BurnSample): BurnCounts => ({
 	total: 1,
-	notWhole: isWhole ? 0 : 1,
+	notWhole: isComplete ? 0 : 1,
 	timed: firstTokenMs === null ? 0 : 1,
 	slow: firstTokenMs !== null && firstTokenMs > firstTokenBoundMs ? 1 : 0,
 });
--- a/packages/coordination/src/configuration/plan-membership.ts
+++ b/packages/coordination/src/configuration/plan-membership.ts
@@ -110,7 +110,11 @@
 	return changes;
 };
 
-/** Silence towards the control plane alone does not remove a host at once: only its connection to the control plane may be down while it still serves. Neither does a failure at entries alone, whose own connections may be down. */
+/**
+ * Silence towards the control plane alone does not remove a host at once: only its
+ * connection to the control plane may be down while it still serves. Neither does a
+ * failure at entries alone, whose own connections may be down.
+ */
 const isLost = ({hostLossMs}: PlanMembershipOptions, isFailing: boolean, silentMs: number): boolean => silentMs > hostLossMs * (isFailing ? 1 : unconfirmedLossFactor);
 
 const failingHosts = (presence: Presence): Set<string> => {
--- a/packages/coordination/src/consensus/elect.ts
+++ b/packages/coordination/src/consensus/elect.ts
@@ -26,7 +26,7 @@
 		}];
 };
 
-/** Adopts a later term as a follower that has voted for nobody. */
+/** Adopts a later term as a follower that has not voted. */
 export const adoptTerm = (state: ConsensusState, term: number, nowMs: number): ConsensusEffect[] => {
 	state.term = term;
 	state.votedFor = null;
--- a/packages/coordination/src/consensus/lead.ts
+++ b/packages/coordination/src/consensus/lead.ts
@@ -94,7 +94,7 @@
 
 export const onLeaderTick = (state: ConsensusState, nowMs: number): ConsensusEffect[] => {
 	abortOverdueTransfer(state, nowMs);
-	// A leader without a quorum steps down, so that its hosts look for another leader and its callers get an error instead of no response.
+	// A leader without a quorum steps down, so that its hosts search for another leader and its callers get an error instead of no response.
 	if (nowMs - quorumConfirmedAtMs(state, nowMs) > state.options.electionTimeoutMs && nowMs >= state.electionDueAtMs) {
 		resetElectionTimer(state, nowMs);
 		return changeRole(state, 'follower', null);
--- a/packages/coordination/src/endpoint-limits/limit-ledger.ts
+++ b/packages/coordination/src/endpoint-limits/limit-ledger.ts
@@ -105,8 +105,8 @@
 };
 
 /** Releases the limits that endpoints no longer advertise; returns the changes. */
-export const releaseLimits = (ledger: LimitLedger, nowMs: number): LimitChange[] => [...ledger.limits].flatMap(([start, {perSecond, receivedAtMs: heardAtMs, unadvertisedSinceMs}]) => {
-	const isExpired = (unadvertisedSinceMs !== null && nowMs - unadvertisedSinceMs > releaseDelayMs) || nowMs - heardAtMs > limitExpiryMs;
+export const releaseLimits = (ledger: LimitLedger, nowMs: number): LimitChange[] => [...ledger.limits].flatMap(([start, {perSecond, receivedAtMs, unadvertisedSinceMs}]) => {
+	const isExpired = (unadvertisedSinceMs !== null && nowMs - unadvertisedSinceMs > releaseDelayMs) || nowMs - receivedAtMs > limitExpiryMs;
 	const change = perSecond !== null && isExpired ? setLimit(ledger, start, null, nowMs) : null;
 	return change === null ? [] : [change];
 });
@@ -115,15 +115,15 @@
 export type SharedLimit = {readonly start: EndpointStart; readonly perSecond: number | null; readonly advertisedAtMs: number};
 
 /** Updates the limit from another entry; returns `null` if the limit did not change. */
-export const recordSharedLimit = (ledger: LimitLedger, {start, perSecond, advertisedAtMs: heardAtMs}: SharedLimit): LimitChange | null => {
+export const recordSharedLimit = (ledger: LimitLedger, {start, perSecond, advertisedAtMs}: SharedLimit): LimitChange | null => {
 	const known = ledger.limits.get(start);
 	if (known === undefined) {
-		return setLimit(ledger, start, perSecond, heardAtMs);
+		return setLimit(ledger, start, perSecond, advertisedAtMs);
 	}
 
 	// A limit that this entry shared can be returned by other entries and appear newer by the message delay.
-	const isNewer = heardAtMs - known.receivedAtMs > (known.perSecond === perSecond ? messageDelayToleranceMs : 0);
-	return isNewer ? setLimit(ledger, start, perSecond, heardAtMs) : null;
+	const isNewer = advertisedAtMs - known.receivedAtMs > (known.perSecond === perSecond ? messageDelayToleranceMs : 0);
+	return isNewer ? setLimit(ledger, start, perSecond, advertisedAtMs) : null;
 };
 
 /** Released limits are shared for this long, so that all reachable entries release them. */
@@ -132,12 +132,12 @@
 /** Returns the limits to send to other entries: those in force and those released recently. */
 export const limitsToShare = ({limits}: LimitLedger, nowMs: number): SharedLimit[] => [...limits]
 	.filter(([, {perSecond, sinceMs}]) => perSecond !== null || nowMs - sinceMs < releasedSharingMs)
-	.map(([start, {perSecond, receivedAtMs: heardAtMs}]) => ({start, perSecond, advertisedAtMs: heardAtMs}));
+	.map(([start, {perSecond, receivedAtMs}]) => ({start, perSecond, advertisedAtMs: receivedAtMs}));
 
 /** Deletes released limits after the retention period. */
 export const pruneLimits = ({limits}: LimitLedger, nowMs: number): void => {
-	for (const [start, {perSecond, receivedAtMs: heardAtMs}] of limits) {
-		if (perSecond === null && nowMs - heardAtMs > releasedRetentionMs) {
+	for (const [start, {perSecond, receivedAtMs}] of limits) {
+		if (perSecond === null && nowMs - receivedAtMs > releasedRetentionMs) {
 			limits.delete(start);
 		}
 	}
--- a/packages/coordination/src/endpoint-limits/permit-account.ts
+++ b/packages/coordination/src/endpoint-limits/permit-account.ts
@@ -37,7 +37,7 @@
 /** The part of a second for which an entry holds permits in advance. */
 const prefetchShare = 0.1;
 const maxPermits = 256;
-/** Expected time until the issuer replies: several crossings between regions. */
+/** Expected time until the issuer replies: several times the network latency between regions. */
 const expectedReplyMs = 40;
 /** After this, a request without a reply is treated as lost and sent again. */
 const resendMs = 150;
--- a/packages/coordination/src/placement/caller-patience.ts
+++ b/packages/coordination/src/placement/caller-patience.ts
@@ -1,7 +1,7 @@
 /**
  * How long the callers of a route wait on their first attempt. A request states only
  * how long its caller still waits, and callers differ: judged by the route's timeout
- * alone, most first attempts would look like retries, and would be queued behind the
+ * alone, most first attempts would be taken for caller retries, and would be queued behind the
  * others and refused first.
  */
 export type FirstAttemptDeadlines = {readonly deadlinesMs: number[]};
--- a/packages/coordination/src/placement/endpoint-health.ts
+++ b/packages/coordination/src/placement/endpoint-health.ts
@@ -56,4 +56,4 @@
 	return true;
 };
 
-export const isBackingOff = ({backoffUntilMs: restUntilMs}: EndpointHealth, nowMs: number): boolean => nowMs < restUntilMs;
+export const isBackingOff = ({backoffUntilMs}: EndpointHealth, nowMs: number): boolean => nowMs < backoffUntilMs;
--- a/packages/coordination/src/placement/endpoint-load.ts
+++ b/packages/coordination/src/placement/endpoint-load.ts
@@ -34,7 +34,7 @@
 	lagAtMs: number;
 	/** The end of the pause that the endpoint requested; `-Infinity` if it has requested none. */
 	pausedUntilMs: number;
-	/** Whether an answer from this start of the endpoint said that it is leaving; its announcement may say so later or never. */
+	/** Whether an answer from this start of the endpoint reported that it is leaving; its announcement may report it later or never. */
 	isLeaving: boolean;
 };
 
@@ -45,7 +45,7 @@
 	pausedUntilMs: Number.NEGATIVE_INFINITY, isLeaving: false,
 });
 
-/** A request sent up to this long before a report was taken is included in the report: the time of one crossing between regions and of one measurement. */
+/** A request sent up to this long before a report was taken is included in the report: the network latency between regions and of one measurement. */
 const reportMarginMs = 10;
 
 const noRequests: readonly AwaitedRequest[] = [];
@@ -55,7 +55,7 @@
 	? noRequests
 	: [...awaiting.values()].filter(({sentAtMs}) => sentAtMs > reportedAtMs - reportMarginMs);
 
-/** Reports arrive every 0.1 to 0.3 s; without any for this long, the endpoint's host is stalled or cut off. */
+/** Reports arrive every 0.1 to 0.3 s; without any for this long, the endpoint's host is stalled or unreachable. */
 export const maxReportAgeMs = 550;
 
 export const hasFreshReport = ({report, reportedAtMs}: EndpointLoad, nowMs: number): boolean => report !== null && nowMs - reportedAtMs < maxReportAgeMs;
@@ -85,7 +85,7 @@
 export const lagOf = (load: EndpointLoad, nowMs: number): number => Math.max(decayedLagMs(load, nowMs), overdueMs(load, nowMs));
 
 /**
- * Records how late an answer started, or how long it was awaited in vain. Reports
+ * Records how late an answer started, or how long it was awaited without a result. Reports
  * don't show a link that became slow or a host that stalled: the engine there looks
  * idle and would be chosen again and again.
  */
--- a/packages/coordination/src/placement/key-lease.ts
+++ b/packages/coordination/src/placement/key-lease.ts
@@ -1,5 +1,5 @@
 /**
- * How long an entry may trust the API keys that it knows. A revoked key must stop
+ * How long an entry may accept the API keys in its cache. A revoked key must stop
  * working everywhere within a bound, also at an entry that cannot reach the core. Each
  * entry therefore accepts keys only for a limited time after it was confirmed to know
  * all of them.
--- a/packages/coordination/src/placement/leaving.ts
+++ b/packages/coordination/src/placement/leaving.ts
@@ -27,7 +27,7 @@
 	/** Estimated time to the answer, or to its first token. */
 	readonly expectedMs: number;
 	readonly maxAnswerMs: number;
-	/** Time until the process cuts running requests; infinite unless it is shutting down. */
+	/** Time until the process aborts running requests; infinite unless it is shutting down. */
 	readonly remainingMs: number;
 };
 
@@ -36,7 +36,7 @@
 
 /**
  * Whether an entry that is shutting down may still start a request. Callers keep using
- * their connections, and a stream that waits for its engine would be cut by the end of
+ * their connections, and a stream that waits for its engine would be aborted by the end of
  * the process after it has run. Requests that are certain to end before are started;
  * the others have not run, and their callers reach another entry with their next
  * connection.
--- a/packages/coordination/src/placement/next-step.ts
+++ b/packages/coordination/src/placement/next-step.ts
@@ -44,7 +44,7 @@
 	readonly entryCount: number;
 	/** The versions of the weights that requests must start on, each with the time from which it is required. */
 	readonly dues: readonly VersionDue[];
-	/** Time until this entry cuts running requests; infinite unless it is shutting down. */
+	/** Time until this entry aborts running requests; infinite unless it is shutting down. */
 	readonly shutdownInMs: number;
 	readonly random: Random;
 	readonly nowMs: number;
@@ -87,15 +87,15 @@
 		| {readonly type: 'wait'; readonly reason: WaitReason}
 		| {readonly type: 'refuse'; readonly reason: string; readonly retryAfterMs: number};
 
-/** While an entry shuts down, a caller's next connection leads to another entry; this is the time of two crossings between regions. */
+/** While an entry shuts down, a caller's next connection leads to another entry; this is the time of a round trip between regions. */
 const shutdownRetryMs = 10;
 
-/** Time that a complete answer takes once it has started. An answer that is cut by its caller's deadline is worthless but uses as much engine capacity. */
+/** Time that a complete answer takes once it has started. An answer that is aborted at its caller's deadline is worthless but uses as much engine capacity. */
 const answerTimeMs = (profile: EngineProfile | null): number => profile === null ? 0 : answerMs(profile);
 
 /** Whether the answer is certain to end before this entry does. */
-const canFinishHere = ({profile, shutdownInMs: leftMs}: PlacementContext, {timeoutMs, maxAnswerTokens: mostAnswerTokens}: UnplacedRequest, {expectedMs}: Placement): boolean => canFinishInTime({
-	expectedMs, remainingMs: leftMs, maxAnswerMs: maxAnswerMs({profile, maxTokens: mostAnswerTokens, timeoutMs}),
+const canFinishHere = ({profile, shutdownInMs}: PlacementContext, {timeoutMs, maxAnswerTokens}: UnplacedRequest, {expectedMs}: Placement): boolean => canFinishInTime({
+	expectedMs, remainingMs: shutdownInMs, maxAnswerMs: maxAnswerMs({profile, maxTokens: maxAnswerTokens, timeoutMs}),
 });
 
 /** Handles the case that no endpoint serves: the request waits briefly, is held until engines have loaded, or is refused with a retry time. */
--- a/packages/coordination/src/placement/path-delay.ts
+++ b/packages/coordination/src/placement/path-delay.ts
@@ -5,7 +5,7 @@
  */
 export type PathDelay = {
 	minMs: number;
-	/** Minimum of the previous window; a step of either clock is forgotten after two windows. */
+	/** Minimum of the previous window; a step of either clock has no effect after two windows. */
 	previousMinMs: number;
 	windowStartMs: number;
 	delayMs: number;
--- a/packages/coordination/src/placement/place-request.ts
+++ b/packages/coordination/src/placement/place-request.ts
@@ -40,11 +40,11 @@
 	readonly lagMs: number;
 };
 
-/** Cost of leaving the zone, as time: two crossings, reports that are twice as old, and a surcharge because traffic between regions is expensive. */
+/** Cost of leaving the zone, as time: a network round trip, reports that are twice as old, and a surcharge because traffic between regions is expensive. */
 const crossZonePenaltyMs = 60;
 /** Differences below this share of the objective don't matter to callers, so endpoints in the same zone are preferred. */
 const toleratedShare = 0.3;
-/** Engines without fresh reports are used last: the engine or its host may be gone. */
+/** Engines without fresh reports are used last: the engine or its host may be down. */
 const unreportedPenaltyMs = 150;
 /** The request and its first token both cross the link whose delay the host's reports show. */
 const pathDelayFactor = 2;
@@ -98,7 +98,7 @@
 	return mayStartOn(version, dues, {expectedMs, isPathSlow}, nowMs);
 };
 
-/** A stream that is interrupted a second time is cut for its caller, which only a far longer wait outweighs. */
+/** A stream that is interrupted a second time ends incomplete for its caller, which only a far longer wait outweighs. */
 const secondCutPenaltyMs = 1000;
 
 /** Penalty for engines that still have to switch to a newer version, for a request that was interrupted before. */
--- a/packages/coordination/src/placement/urgency.ts
+++ b/packages/coordination/src/placement/urgency.ts
@@ -22,12 +22,12 @@
  * part of a long prompt's objective, and the remaining time is lost while requests
  * that could wait are ahead of it.
  */
-export const urgencyOf = ({priority, hasComeBack, objectiveMs, promptPrefillMs: ownReadMs, usualSlackMs}: UrgencyOptions): number => {
+export const urgencyOf = ({priority, hasComeBack, objectiveMs, promptPrefillMs, usualSlackMs}: UrgencyOptions): number => {
 	if (hasComeBack) {
 		return lastLevel;
 	}
 
-	const extraSlackMs = objectiveMs - ownReadMs - usualSlackMs;
+	const extraSlackMs = objectiveMs - promptPrefillMs - usualSlackMs;
 	const step = Math.max(-1, Math.min(1, Math.round(extraSlackMs / levelMs)));
 	return (Math.min(priority, lastPriority) * levelsOfPriority) + 1 + step;
 };
--- a/packages/coordination/src/placement/wait-for-engine.ts
+++ b/packages/coordination/src/placement/wait-for-engine.ts
@@ -49,7 +49,7 @@
 
 type WaitLimit = {readonly maxMs: number; /** Share of the caller's remaining time at its arrival. */ readonly share: number};
 
-/** Engines that switch or restart are out of service for less than this; the caller needs the rest of its time for a retry. */
+/** Engines that switch or restart are out of service for less than this; the caller needs its remaining time for a retry. */
 const firstAttemptWait: WaitLimit = {maxMs: 700, share: 0.15};
 /** A caller retry has no further retry, so it may wait for engines whose hosts don't know the time yet, as in the first second after a power loss. */
 const retryWait: WaitLimit = {maxMs: 1500, share: 0.35};
@@ -88,7 +88,7 @@
 		}
 	}
 
-	// A caller refused at once retries when engines are ready; a caller refused after a wait in vain retries later than that.
+	// A caller refused at once retries when engines are ready; a caller refused after an unsuccessful wait retries later than that.
 	const isTooLate = readyInMs !== null && readyInMs > firstAttemptWait.maxMs - waitedMs;
 	return isWithin(firstAttemptWait) && !isTooLate ? 'brief' : 'leave';
 };
--- a/packages/coordination/src/quarantine/broken-attempts.ts
+++ b/packages/coordination/src/quarantine/broken-attempts.ts
@@ -7,9 +7,9 @@
 export type BrokenAttempt = {readonly fingerprint: RequestFingerprint; readonly address: string; readonly atMs: number; readonly stage: AnswerStage};
 
 /**
- * Recently broken attempts, kept until a sign shows whether the endpoint exited or
- * only the connection ended. Without that sign, a lost answer, a reset connection or a
- * stream that was cut for a new version would look like a crash.
+ * Recently broken attempts, kept until there is evidence whether the endpoint exited or
+ * only the connection ended. Without that evidence, a lost answer, a reset connection or a
+ * stream that was aborted for a new version would look like a crash.
  */
 export type BrokenAttempts = {
 	/** Oldest first. */
@@ -26,12 +26,12 @@
 
 export const createBrokenAttempts = (): BrokenAttempts => ({waiting: [], exitedAtMs: new Map()});
 
-const pruneExpired = ({waiting, exitedAtMs: endedAtMs}: BrokenAttempts, nowMs: number): void => {
+const pruneExpired = ({waiting, exitedAtMs}: BrokenAttempts, nowMs: number): void => {
 	const firstKept = waiting.findIndex(({atMs}) => nowMs - atMs <= confirmationTimeoutMs);
 	waiting.splice(0, firstKept === -1 ? waiting.length : Math.max(firstKept, waiting.length - maxWaiting));
-	for (const [address, atMs] of endedAtMs) {
+	for (const [address, atMs] of exitedAtMs) {
 		if (nowMs - atMs > exitFreshMs) {
-			endedAtMs.delete(address);
+			exitedAtMs.delete(address);
 		}
 	}
 };
--- a/packages/coordination/src/quarantine/crash-ledger.ts
+++ b/packages/coordination/src/quarantine/crash-ledger.ts
@@ -14,7 +14,7 @@
 	readonly atMs: number;
 	/** The requests that were there, with the progress of each. */
 	readonly suspects: Map<RequestFingerprint, AnswerStage>;
-	/** The request that the exit is attributed to; `null` if none stands out. */
+	/** The request that the exit is attributed to; `null` if the evidence identifies none. */
 	culprit: RequestFingerprint | null;
 };
 
--- a/packages/coordination/src/registry/registry.ts
+++ b/packages/coordination/src/registry/registry.ts
@@ -16,7 +16,7 @@
 	urgentPosition: number;
 };
 
-/** How long endpoints that are gone or silent are kept, so that a late announcement is distinguished from a new start. */
+/** How long endpoints that have left or are silent are kept, so that a late announcement is distinguished from a new start. */
 const retentionMs = 60_000;
 
 /** The sender of an announcement: the endpoint itself, or another host that received it from the endpoint. */
@@ -46,7 +46,7 @@
  * Records an announcement; returns `false` if a later one is known. A delayed
  * announcement must not restore an endpoint that has since left or started to drain.
  * The sequence starts again with each start of an endpoint: a later start replaces
- * everything that the previous one announced, including that it is gone, and
+ * everything that the previous one announced, including that it has left, and
  * announcements of the previous one are ignored from then on, whichever host sends
  * them. By the sequence alone, a restarted endpoint would get no work until its
  * sequence exceeded the old one, and never if the old start had left.
@@ -124,8 +124,8 @@
 
 /** Removes endpoints that have been silent for the retention period. */
 export const pruneRegistry = ({entries}: Registry, nowMs: number): void => {
-	for (const [id, {receivedAtMs: heardAtMs}] of entries) {
-		if (nowMs - heardAtMs > retentionMs) {
+	for (const [id, {receivedAtMs}] of entries) {
+		if (nowMs - receivedAtMs > retentionMs) {
 			entries.delete(id);
 		}
 	}
--- a/packages/coordination/src/requests/attempt.ts
+++ b/packages/coordination/src/requests/attempt.ts
@@ -27,7 +27,7 @@
 		| {readonly type: 'head'; readonly isOwn: boolean}
 		| {readonly type: 'part'; readonly sizeBytes: number}
 		| {readonly type: 'end'; readonly isWhole: boolean}
-	/** The connection was cut or idle for too long. `isUnsent`: it was never established, so nothing was sent. */
+	/** The connection was closed early or idle for too long. `isUnsent`: it was never established, so nothing was sent. */
 		| {readonly type: 'connectionLost'; readonly isUnsent: boolean; readonly reason: string}
 		| {readonly type: 'settled'; readonly result: 'ran' | 'running' | 'notRun' | 'unknown'}
 		| {readonly type: 'settleFailed'}
--- a/packages/coordination/src/requests/claimed-call.ts
+++ b/packages/coordination/src/requests/claimed-call.ts
@@ -48,7 +48,7 @@
 	= | {readonly type: 'notRun'}
 		| {readonly type: 'running'}
 		| {readonly type: 'ran'; readonly answer: ClaimAnswer}
-	/** `isForGood`: the agent that had the record is permanently gone. */
+	/** `isForGood`: the agent that had the record is permanently lost. */
 		| {readonly type: 'lost'; readonly isForGood: boolean};
 
 export type ClaimedCallEvent
@@ -165,7 +165,7 @@
 	finishWith(verdict),
 );
 
-/** Another request holds the key. If it is still in progress, its entry may be dead, so the request gate it was sent to is queried. */
+/** Another request holds the key. If it is still in progress, its entry may have crashed, so the request gate it was sent to is queried. */
 const handleHeldClaim = ({state, place, requestId}: HeldClaim): ClaimedCallEffect => state.type === 'inProgress'
 	? {type: 'settle', place, requestId}
 	: finishHeld(state);
--- a/packages/coordination/src/routing/health.ts
+++ b/packages/coordination/src/routing/health.ts
@@ -5,7 +5,7 @@
 	EjectionReason, Group, RouterNotice, RouterState,
 } from './types.js';
 
-/** Clears the health record of a restarted host, because earlier outcomes say nothing about it now. */
+/** Clears the health record of a restarted host, because earlier outcomes do not indicate its current health. */
 export const resetHealth = (host: HostState): void => {
 	host.consecutiveFailures = 0;
 	host.failureShare = 0;
@@ -25,7 +25,7 @@
 	/** The host refused because it is full or draining, which is not a failure. */
 		| {readonly type: 'full'}
 		| {readonly type: 'failed'}
-	/** The caller disconnected, which says nothing about the host. */
+	/** The caller disconnected, which does not indicate the health of the host. */
 		| {readonly type: 'cancelled'};
 
 const outcomeSampleWeight = 0.1;
--- a/packages/coordination/src/swarm/link-strain.ts
+++ b/packages/coordination/src/swarm/link-strain.ts
@@ -39,7 +39,7 @@
 	return true;
 };
 
-/** How long a link still counts as strained after a backoff; it is checked again within this time. */
+/** How long a link still counts as congested after a backoff; it is checked again within this time. */
 const strainTimeoutMs = 3000;
 
 /** Whether the link was recently too slow. */
--- a/packages/coordination/src/swarm/standstill.ts
+++ b/packages/coordination/src/swarm/standstill.ts
@@ -1,6 +1,6 @@
 /**
  * Detects stalls of this process: its host was suspended or had no processor time
- * left. Durations measured across a stall say nothing about links and sources.
+ * left. Durations measured across a stall do not indicate the speed of links and sources.
  */
 export type ProcessStall = {checkedAtMs: number; endedAtMs: number};
 
--- a/packages/coordination/src/swarm/types.ts
+++ b/packages/coordination/src/swarm/types.ts
@@ -13,7 +13,7 @@
 /** `busy`: the source is live but currently refuses; `missing`: a peer announced a chunk that it does not have. */
 export type FailureReason = 'corrupt' | 'missing' | 'unreachable' | 'stalled' | 'busy';
 
-/** Zone of the origin. `least`: minimum number of hosts whose links together can carry what the origin sends. */
+/** Zone of the origin. `minHosts`: minimum number of hosts whose links together can carry what the origin sends. */
 export type NearOriginFetchers = {readonly zoneId: string; readonly minHosts: number};
 
 export type SwarmOptions = {
@@ -37,7 +37,7 @@
 	/**
 	 * Hosts of the origin's zone fetch its chunks, if there are enough of them for its
 	 * link; the others do if these fail. A chunk fetched from another zone crosses the
-	 * zone boundary once more on its way back. @default null, any host fetches
+	 * zone boundary once more on its return. @default null, any host fetches
 	 */
 	readonly nearOriginFetchers?: NearOriginFetchers | null;
 	/** If an origin fetcher yields no new chunk for this long, the others take over its chunks. @default 2000 */
--- a/packages/coordination/test/availability.test.ts
+++ b/packages/coordination/test/availability.test.ts
@@ -67,7 +67,7 @@
 	t.not(step.type === 'wait' && step.reason, 'availability');
 });
 
-t.test('a refused request is told to retry when an endpoint is expected to accept it, behind those already waiting', async t => {
+t.test('a refused request gets a retry time at which an endpoint is expected to accept it, behind those already waiting', async t => {
 	const step = nextStep(demand(5), createContext({idle: limited(100), busy: limited(300)}), request());
 	t.ok(step.type === 'refuse' && step.retryAfterMs >= 1300, 'five requests are ahead, and the endpoints accept four per second');
 });
--- a/packages/coordination/test/claimed-call.test.ts
+++ b/packages/coordination/test/claimed-call.test.ts
@@ -54,7 +54,7 @@
 	t.match(lastEffect(createCall(), [placedAt('own.1'), claimed, attemptedWith({type: 'answered', place: placeAt('own.1'), answer: null})]), {type: 'finish', reply: {verdict: {type: 'mayHaveRun'}}});
 });
 
-// A caller retry finds the key held by a request whose entry may be dead.
+// A caller retry finds the key held by a request whose entry may have crashed.
 t.test('a caller retry queries the request gate and reports the result to the caller', async t => {
 	const resolveHeldCall = (found: Extract<ClaimedCallEvent, {type: 'found'}>['found']): {state: ClaimedCallState; effect: ClaimedCallEffect} => {
 		const state = createCall();
@@ -64,7 +64,7 @@
 	};
 
 	t.match(resolveHeldCall({type: 'running'}).effect, {type: 'finish', reply: {type: 'held', state: {type: 'inProgress'}}});
-	t.match(resolveHeldCall({type: 'lost', isForGood: false}).effect, {type: 'finish', reply: {state: {type: 'mayHaveRun'}}}, 'the agent may come back');
+	t.match(resolveHeldCall({type: 'lost', isForGood: false}).effect, {type: 'finish', reply: {state: {type: 'mayHaveRun'}}}, 'the agent may return');
 	t.match(resolveHeldCall({type: 'lost', isForGood: true}).effect, {type: 'conclude', requestId: 'other', outcome: {type: 'mayHaveRun'}});
 	const ran = resolveHeldCall({type: 'ran', answer});
 	t.match(ran.effect, {
--- a/packages/coordination/test/configuration-schedules.test.ts
+++ b/packages/coordination/test/configuration-schedules.test.ts
@@ -10,9 +10,9 @@
 } from '@bitternpaddle/coordination';
 
 const seed = 41_203;
-const {hostLeaseMs, leaderLeaseMs: wordMs} = leaseTimes;
+const {hostLeaseMs, leaderLeaseMs} = leaseTimes;
 /** Maximum time after the acceptance of a change for which a host may act on the replaced configuration. */
-const maxStalenessMs = Math.max(hostLeaseMs, wordMs);
+const maxStalenessMs = Math.max(hostLeaseMs, leaderLeaseMs);
 
 type Member = {catalog: Catalog; grant: LeaderLease | null; isPartitioned: boolean};
 
@@ -50,7 +50,7 @@
 	requestLeaderLease(member: Member): void {
 		this.nowMs += 0.01;
 		if (!member.isPartitioned) {
-			member.grant = {requestedAtMs: this.nowMs, untilMs: this.nowMs + wordMs, revision: this.leader.revision};
+			member.grant = {requestedAtMs: this.nowMs, untilMs: this.nowMs + leaderLeaseMs, revision: this.leader.revision};
 		}
 	}
 
--- a/packages/coordination/test/entry-shares.test.ts
+++ b/packages/coordination/test/entry-shares.test.ts
@@ -46,7 +46,7 @@
 	const lender = createEntryShares({entryId: 'lender', incarnation: 1});
 	setTeamRates(lender, new Map([['t', rate]]));
 	updateEntries(lender, ['lender', 'other'], {askedAtMs: 0, nowMs: 0});
-	const ask = (number: number, taken: number, wanted: number, nowMs: number) => answerShareRequest(lender, {
+	const requestLoan = (number: number, taken: number, wanted: number, nowMs: number) => answerShareRequest(lender, {
 		entryId: 'other', incarnation: 1, number, taken, wants: {t: wanted},
 	}, nowMs);
 	applyShareAnswer(lender, 'other', {
@@ -54,12 +54,12 @@
 	}, {sentAtMs: 0, nowMs: 0});
 	tickShares(lender, new Map(), 0);
 	t.equal(shareOf(lender, 't', 0), rate / 2, 'an equal share');
-	t.same(ask(1, 0, 400, 0).loans, {t: 400});
-	t.same(ask(2, 0, 100, 1000).loans, {t: 100});
+	t.same(requestLoan(1, 0, 400, 0).loans, {t: 400});
+	t.same(requestLoan(2, 0, 100, 1000).loans, {t: 100});
 	t.equal(shareOf(lender, 't', 1000), 50, 'it is unknown which answer arrived');
-	t.same(ask(3, 2, 100, 1500).loans, {t: 100});
+	t.same(requestLoan(3, 2, 100, 1500).loans, {t: 100});
 	t.equal(shareOf(lender, 't', 1500), 350, 'the second answer was acknowledged, so the first grant is void');
-	t.same(ask(2, 0, 400, 1600).loans, {}, 'a delayed older request gets nothing');
+	t.same(requestLoan(2, 0, 400, 1600).loans, {}, 'a delayed older request gets nothing');
 	t.equal(shareOf(lender, 't', 4900), 350);
 	t.equal(shareOf(lender, 't', 5000), 450, 'the loan of the silent borrower has expired');
 });
--- a/packages/coordination/test/key-lease.test.ts
+++ b/packages/coordination/test/key-lease.test.ts
@@ -2,8 +2,8 @@
 import {createKeyLease, holdsKeyLease, renewKeyLease} from '@bitternpaddle/coordination';
 
 // Guards against an entry that keeps accepting a revoked key. The revocation is
-// acknowledged at 10,000; this entry last asked a core host at 9,990 and was then cut
-// off. It must stop accepting the key within the bound of 5 s after the
+// acknowledged at 10,000; this entry last called a core host at 9,990 and was then
+// partitioned from it. It must stop accepting the key within the bound of 5 s after the
 // acknowledgement, whatever else it receives.
 t.test('a lease ends before a revoked key must stop working', async t => {
 	const lease = createKeyLease(5000);
--- a/packages/coordination/test/lease-times.test.ts
+++ b/packages/coordination/test/lease-times.test.ts
@@ -5,7 +5,7 @@
 } from '@bitternpaddle/coordination';
 
 const seed = 2505;
-const {hostLeaseMs, leaderLeaseMs: wordMs, leaderRequestIntervalMs: askMs, leaderRequestTimeoutMs: askTimeoutMs, retryDelayMs: retryMs} = leaseTimes;
+const {hostLeaseMs, leaderLeaseMs, leaderRequestIntervalMs, leaderRequestTimeoutMs, retryDelayMs} = leaseTimes;
 const drainBoundMs = 3000;
 const runMs = 20_000;
 
@@ -21,16 +21,16 @@
 const receiveLeases = (phaseMs: number, rttMs: number, failover: Outage): ReceivedLease[] => {
 	const leaderLeases: ReceivedLease[] = [];
 	let freeAtMs = 0;
-	for (let askedAtMs = phaseMs; askedAtMs < runMs; askedAtMs += askMs) {
-		if (askedAtMs < freeAtMs) {
+	for (let requestedAtMs = phaseMs; requestedAtMs < runMs; requestedAtMs += leaderRequestIntervalMs) {
+		if (requestedAtMs < freeAtMs) {
 			continue;
 		}
 
-		const isLost = isDuring(askedAtMs, failover) || isDuring(askedAtMs + rttMs, failover);
-		freeAtMs = askedAtMs + (isLost ? askTimeoutMs : rttMs);
+		const isLost = isDuring(requestedAtMs, failover) || isDuring(requestedAtMs + rttMs, failover);
+		freeAtMs = requestedAtMs + (isLost ? leaderRequestTimeoutMs : rttMs);
 		if (!isLost) {
 			leaderLeases.push({
-				requestedAtMs: askedAtMs, untilMs: askedAtMs + wordMs, revision: 1, receivedAtMs: freeAtMs,
+				requestedAtMs, untilMs: requestedAtMs + leaderLeaseMs, revision: 1, receivedAtMs: freeAtMs,
 			});
 		}
 	}
@@ -60,7 +60,7 @@
 		nowMs = isTimedOut ? sentAtMs + timeoutMs : answeredAtMs + (rttMs / 2);
 		if (isTimedOut || decision !== 'hold') {
 			failuresInARow++;
-			nowMs += retryMs;
+			nowMs += retryDelayMs;
 			continue;
 		}
 
@@ -85,16 +85,16 @@
 // that lease. Without the bound, the drained endpoint would receive requests for
 // the sum of both leases. The host's lease must end with the leader's lease.
 t.test('ends the last lease within the drain bound in the worst case', async t => {
-	fc.assert(fc.property(fc.integer({min: 0, max: wordMs - 1}), fc.integer({min: 0, max: 600}), (requestToArrivalMs, inTransitMs) => {
+	fc.assert(fc.property(fc.integer({min: 0, max: leaderLeaseMs - 1}), fc.integer({min: 0, max: 600}), (requestToArrivalMs, inTransitMs) => {
 		const drainedAtMs = 10_000;
-		const grant: LeaderLease = {requestedAtMs: drainedAtMs, untilMs: drainedAtMs + wordMs, revision: 1};
+		const grant: LeaderLease = {requestedAtMs: drainedAtMs, untilMs: drainedAtMs + leaderLeaseMs, revision: 1};
 		const arrivedAtMs = drainedAtMs + requestToArrivalMs;
 		const leaseMs = grantedLeaseMs({lease: grant, hostLeaseMs, arrivedAtMs});
-		return arrivedAtMs - inTransitMs + leaseMs <= drainedAtMs + wordMs;
+		return arrivedAtMs - inTransitMs + leaseMs <= drainedAtMs + leaderLeaseMs;
 	}), {seed, numRuns: 2000});
 	const leader: LeaderLease = {requestedAtMs: Number.POSITIVE_INFINITY, untilMs: Number.POSITIVE_INFINITY, revision: 1};
 	t.equal(grantedLeaseMs({lease: leader, hostLeaseMs, arrivedAtMs: 0}), hostLeaseMs, 'the leader itself grants a full lease');
-	t.ok(Math.max(wordMs, hostLeaseMs) <= drainBoundMs - 500, 'the drain bound leaves a margin of half a second');
+	t.ok(Math.max(leaderLeaseMs, hostLeaseMs) <= drainBoundMs - 500, 'the drain bound leaves a margin of half a second');
 });
 
 // One watch call is lost, or the control plane fails over (for up to 1.1 s) while
--- a/packages/coordination/test/limit-ledger.test.ts
+++ b/packages/coordination/test/limit-ledger.test.ts
@@ -49,8 +49,8 @@
 t.test('a limit returned by other entries is neither refreshed nor restored after its release', async t => {
 	const ledger = createLimitLedger();
 	recordLimitAnswer(ledger, answer(2), 1000);
-	for (let heardAtMs = 1010; heardAtMs < 1200; heardAtMs += 10) {
-		recordSharedLimit(ledger, {start, perSecond: 2, advertisedAtMs: heardAtMs});
+	for (let advertisedAtMs = 1010; advertisedAtMs < 1200; advertisedAtMs += 10) {
+		recordSharedLimit(ledger, {start, perSecond: 2, advertisedAtMs});
 	}
 
 	recordLimitAnswer(ledger, answer(null, {sentAtMs: 1005}), 1300);
--- a/packages/coordination/test/path-delay.test.ts
+++ b/packages/coordination/test/path-delay.test.ts
@@ -20,9 +20,9 @@
 });
 
 // Guards against a permanent delay after a clock step: while a host is suspended, its
-// clock stands still, and every later report looks delayed by as much. After two
+// clock stops, and every later report looks delayed by as much. After two
 // windows, the new difference is the baseline.
-t.test('a step of the remote clock is forgotten', async t => {
+t.test('a step of the remote clock has no lasting effect', async t => {
 	const path = createPathDelay();
 	recordPathDelay(path, 0, 100_000);
 	for (let sentAtMs = 100; sentAtMs < 20_000; sentAtMs += 100) {
@@ -45,19 +45,19 @@
 	t.equal(strainBackoffMs(strain, 5000), 0);
 });
 
-// Guards against mistaking a process stall for a slow link. A host is frozen for four
+// Guards against mistaking a process stall for a slow link. A host is suspended for four
 // seconds while it fetches chunks, some of which only it has fetched from the origin.
 // Its fetches then appear to have taken four seconds; with the link considered slow,
 // it would refuse its chunks to the other hosts for seconds more.
 t.test('a process detects its own stall', async t => {
-	const standstill = createProcessStall(0);
+	const stall = createProcessStall(0);
 	for (let nowMs = 100; nowMs <= 1000; nowMs += 100) {
-		checkClock(standstill, nowMs);
+		checkClock(stall, nowMs);
 	}
 
-	t.notOk(hasStalled(standstill, 200, 1050), 'the clock was checked all the time');
-	t.ok(hasStalled(standstill, 900, 5000), 'a fetch ends before the next check');
-	checkClock(standstill, 5001);
-	t.ok(hasStalled(standstill, 900, 5050), 'a fetch that started before the stall');
-	t.notOk(hasStalled(standstill, 5010, 5090), 'a fetch that started after it');
+	t.notOk(hasStalled(stall, 200, 1050), 'the clock was checked all the time');
+	t.ok(hasStalled(stall, 900, 5000), 'a fetch ends before the next check');
+	checkClock(stall, 5001);
+	t.ok(hasStalled(stall, 900, 5050), 'a fetch that started before the stall');
+	t.notOk(hasStalled(stall, 5010, 5090), 'a fetch that started after it');
 });
--- a/packages/coordination/test/quarantine.test.ts
+++ b/packages/coordination/test/quarantine.test.ts
@@ -2,8 +2,8 @@
 import fc from 'fast-check';
 import t from 'tap';
 import {
-	clearRequest, confirmExit, confirmRestart, createBrokenAttempts, createCrashLedger, createRandom, fingerprintOf, mayHaveRecords, recordBrokenAttempt, outlineIn, outlineOf, pruneLedger, addSightings,
-	verdictOn,
+	clearRequest, confirmExit, confirmRestart, createBrokenAttempts, createCrashLedger, createRandom, fingerprintOf, mayHaveRecords, recordBrokenAttempt, outlineIn, outlineOf, pruneLedger,
+	addSightings, verdictOn,
 	type CrashLedger, type CrashSighting, type FingerprintedRequest, type RequestFingerprint,
 } from '@bitternpaddle/coordination';
 
@@ -106,7 +106,7 @@
 	addSightings(ledger, [...unrelated, ...exitOf('e1', 100, crashing), ...exitOf('e2', 500, crashing)], 900, new Set([crashing]));
 	t.notOk(isRefused(ledger, crashing, 900), 'its evidence is not complete yet');
 	addSightings(ledger, exitOf('e3', 800, crashing), 900);
-	t.notOk(isRefused(ledger, crashing, 900), 'it does not stand out by the evidence here alone');
+	t.notOk(isRefused(ledger, crashing, 900), 'the evidence here alone does not identify it');
 	addSightings(ledger, [], 900, new Set([crashing]));
 	t.ok(isRefused(ledger, crashing, 900));
 });
--- a/packages/coordination/test/registry.test.ts
+++ b/packages/coordination/test/registry.test.ts
@@ -20,8 +20,8 @@
 	t.equal(stateOf(registry, 'e1'), 'draining');
 });
 
-// Guards against restoring an endpoint that has left: another core host, which was cut
-// off, still forwards its earlier announcements. An id stands for one start, so none
+// Guards against restoring an endpoint that has left: another core host, which was
+// partitioned, still forwards its earlier announcements. An id stands for one start, so none
 // of them restores it.
 t.test('an endpoint that has left is not restored under its id', async t => {
 	const registry = createRegistry();
@@ -74,8 +74,8 @@
 	t.equal(stateOf(registry, 'e1'), 'ready', 'the departure of the previous start does not apply to this one');
 });
 
-// Guards against late announcements of an earlier start, delayed on their way from the
-// endpoint itself or forwarded by a core host that was cut off. Callers would be sent
+// Guards against late announcements of an earlier start, delayed in transit from the
+// endpoint itself or forwarded by a core host that was partitioned. Callers would be sent
 // to the restarted endpoint for weights that it no longer holds, or not at all.
 t.test('late announcements of an earlier start change nothing, whoever sends them', async t => {
 	const registry = createRegistry();
--- a/packages/coordination/test/swarm.test.ts
+++ b/packages/coordination/test/swarm.test.ts
@@ -327,15 +327,15 @@
 });
 
 // The origin is in one zone; hosts of three zones share its chunks. A chunk fetched from
-// another zone crosses into that zone, out of it to the third, and back to the origin's
-// own: a copy crosses nearly three times instead of twice, and each crossing is charged.
+// another zone is transferred into that zone, from there to the third, and back to the origin's
+// own: a copy is transferred between zones nearly three times instead of twice, and each transfer is charged.
 t.test('hosts in the zone of the origin fetch its chunks, and the others do if they fail', async t => {
 	const peers = ['a', 'b', 'c', 'd', 'e', 'f'].map(hostId => ({hostId, zoneId: hostId < 'd' ? 'near' : 'far', regionId: 'r'}));
-	const createIn = (hostId: string, least: number): SwarmState => createSwarm({
+	const createIn = (hostId: string, minHosts: number): SwarmState => createSwarm({
 		self: peers.find(candidate => candidate.hostId === hostId)!, manifestId: 'm', totalChunks: 24, held: [], peers, random: createRandom(3), nowMs: 0,
-		nearOriginFetchers: {zoneId: 'near', minHosts: least},
+		nearOriginFetchers: {zoneId: 'near', minHosts},
 	}).state;
-	const owned = (least: number): number[] => peers.map(({hostId}) => createIn(hostId, least).tickets.ownChunks.length);
+	const owned = (minHosts: number): number[] => peers.map(({hostId}) => createIn(hostId, minHosts).tickets.ownChunks.length);
 	t.same(owned(3).slice(3), [0, 0, 0], 'nothing is fetched from another zone');
 	t.equal(owned(3).reduce((sum, count) => sum + count, 0), 24, 'every chunk has one owner');
 	t.ok(owned(4).slice(3).every(count => count > 0), 'three links cannot carry what the origin sends, so all hosts fetch');
@@ -382,7 +382,7 @@
 	}, 100);
 	t.ok(isRemainderAvailable(state, 400), 'a chunk that no host had was announced recently');
 	stepSwarm(state, {type: 'stored', chunk: 0, source: {type: 'peer', hostId: 'b'}}, 900);
-	t.notOk(isRemainderAvailable(state, 1000), 'exchanges among hosts say nothing about the third chunk');
+	t.notOk(isRemainderAvailable(state, 1000), 'exchanges among hosts do not make the third chunk available');
 	stepSwarm(state, {
 		type: 'peerHas', hostId: 'b', chunks: [2], isGreeting: false,
 	}, 1100);
--- a/packages/coordination/test/wait-for-engine.test.ts
+++ b/packages/coordination/test/wait-for-engine.test.ts
@@ -59,9 +59,9 @@
 	t.same(engineOutlook([], 1200), {readyInMs: null, slots: 0});
 });
 
-// Guards against a wait in vain. Two versions were published in succession and the
+// Guards against a wait without success. Two versions were published in succession and the
 // origin was lost: the older one is due, the newer one is complete in two seconds. A
-// first attempt that waits 0.7 s in vain and is then told to retry after two seconds
+// first attempt that waits 0.7 s without success and is then refused with a retry time of two seconds
 // is late by as much; refused at once, it is served in time.
 t.test('a first attempt is refused at once if no engine will be ready within its wait', async t => {
 	t.equal(wait({hasComeBack: false, outlook: {readyInMs: 2000, slots: 160}}), 'leave');
