--- a/packages/protocol/src/http/end-marker.ts
+++ b/packages/protocol/src/http/end-marker.ts
@@ -3,7 +3,7 @@
 /**
  * Trailer of every complete answer from an agent to an entry. An answer without
  * it, or with a different request id, byte count, digest or version, is never
- * reported as complete: the connection may have been cut, or may have carried
+ * reported as complete: the connection may have been closed early, or may have carried
  * the answer to another request.
  */
 export const endMarkerSchema = z.object({
--- a/packages/protocol/src/http/issue.ts
+++ b/packages/protocol/src/http/issue.ts
@@ -1,9 +1,9 @@
 import * as z from 'zod';
 
 /**
- * Sequence number of a request among those of one sending process. It tells a
- * request gate whether it may have discarded its record of a request, without
- * comparing clocks.
+ * Sequence number of a request among those of one sending process. From it, a
+ * request gate determines whether it may have discarded its record of a request,
+ * without comparing clocks.
  */
 export const issueSchema = z.object({sender: z.string().min(1).max(128), sequence: z.number().int().nonnegative()});
 export type Issue = z.infer<typeof issueSchema>;
--- a/packages/protocol/src/rpc/methods.ts
+++ b/packages/protocol/src/rpc/methods.ts
@@ -202,7 +202,7 @@
 	isCancel: z.boolean().default(false),
 });
 export type ResolveAttemptParameters = z.input<typeof resolveAttemptParametersSchema>;
-/** `unknown`: the request gate cannot tell, because its agent was restarted or has discarded the record of the request. */
+/** `unknown`: the request gate has no information, because its agent was restarted or has discarded the record of the request. */
 export type AttemptResolution = {readonly type: 'ran' | 'running' | 'notRun' | 'unknown'};
 
 export const loadParametersSchema = z.object({});
--- a/packages/state/src/catalog/claims.ts
+++ b/packages/state/src/catalog/claims.ts
@@ -151,9 +151,9 @@
 };
 
 /** Expiry uses the latest time reported by the entries' clocks and never goes backwards, so that all control hosts remove the same claims. */
-const removeExpiredClaims = (ledger: Ledger, atMs: number, {retentionMs: keptMs}: ClaimLimits): void => {
+const removeExpiredClaims = (ledger: Ledger, atMs: number, {retentionMs}: ClaimLimits): void => {
 	ledger.claimClockMs = Math.max(ledger.claimClockMs, atMs);
-	while (remainingLength(ledger, 'claimOrder') > 0 && peekFirst(ledger, 'claimOrder')!.atMs < ledger.claimClockMs - keptMs) {
+	while (remainingLength(ledger, 'claimOrder') > 0 && peekFirst(ledger, 'claimOrder')!.atMs < ledger.claimClockMs - retentionMs) {
 		const {key, atMs: claimedAtMs} = removeFirst(ledger, 'claimOrder');
 		const claim = ledger.claims[key];
 		if (claim?.atMs === claimedAtMs) {
--- a/packages/state/src/catalog/plan-assignments.ts
+++ b/packages/state/src/catalog/plan-assignments.ts
@@ -15,7 +15,11 @@
 	fillFleets(catalog, fencingNumber);
 };
 
-/** Moves a fleet's assigned hosts to its current version and releases those that are not eligible or exceed its replicas; releases all if the fleet is not loaded or no longer exists. Assigns no new hosts. */
+/**
+ * Moves a fleet's assigned hosts to its current version and releases those that are
+ * not eligible or exceed its replicas; releases all if the fleet is not loaded or no
+ * longer exists. Assigns no new hosts.
+ */
 export const updateFleetAssignments = (catalog: Catalog, fleetId: string, fencingNumber: number): void => {
 	const members = hostIndexOf(catalog).members.get(fleetId);
 	if (members === undefined) {
--- a/packages/state/src/log/snapshot-file.ts
+++ b/packages/state/src/log/snapshot-file.ts
@@ -29,7 +29,7 @@
 /**
  * Yields `{"body": the snapshot as JSON, "crc": the checksum of body}` in parts, so
  * that the writer can yield to the event loop in between. The checksum comes
- * last, because it is computed along the way.
+ * last, because it is computed while the body is written.
  */
 export function * snapshotFileParts({state, ...head}: Snapshot): Generator<string> {
 	let crc = 0;
