--- a/packages/coordination/src/admission/loans.ts
+++ b/packages/coordination/src/admission/loans.ts
@@ -162,11 +162,11 @@
 	const lenders = chooseLenders(loans, plan);
 	for (const [teamId, shortfall] of teams) {
 		const willingLenders = lenders.filter(lender => !(loans.borrowed.get(lender)?.exhaustedTeams.has(teamId) ?? false));
-		const askedLenders = willingLenders.length === 0 ? lenders : willingLenders;
+		const requestedLenders = willingLenders.length === 0 ? lenders : willingLenders;
 		const borrowed = borrowedRate(loans, teamId, plan.nowMs);
 		for (const lender of lenders) {
 			const borrowedFromLender = loans.borrowed.get(lender)?.rates[teamId] ?? 0;
-			const increase = askedLenders.includes(lender) ? shortfall / askedLenders.length : 0;
+			const increase = requestedLenders.includes(lender) ? shortfall / requestedLenders.length : 0;
 			const requestedRate = shortfall > 0 ? borrowedFromLender + increase : borrowedFromLender * Math.max(0, 1 + (shortfall / borrowed));
 			if (requestedRate >= 1) {
 				wants.set(lender, {...wants.get(lender), [teamId]: requestedRate});
--- a/packages/coordination/src/door/door.ts
+++ b/packages/coordination/src/door/door.ts
@@ -60,7 +60,7 @@
 
 	// The evicted records may include a bar. Without this check, a request that was
 	// resolved as "not run" and arrives after its bar was evicted would start.
-	if (isForgotten(state, issue)) {
+	if (isEvicted(state, issue)) {
 		return {type: 'refuse', reason: 'forgotten'};
 	}
 
@@ -104,7 +104,7 @@
 		return entry.record;
 	}
 
-	if (isForgotten(state, issue)) {
+	if (isEvicted(state, issue)) {
 		return 'unknown';
 	}
 
@@ -113,7 +113,7 @@
 	return 'notRun';
 };
 
-const isForgotten = ({highestForgotten}: RequestGate, {sender, sequence}: GateIssue): boolean => sequence <= (highestForgotten.get(sender) ?? -1);
+const isEvicted = ({highestForgotten}: RequestGate, {sender, sequence}: GateIssue): boolean => sequence <= (highestForgotten.get(sender) ?? -1);
 
 const recordEnded = (state: RequestGate, attemptId: string): void => {
 	state.ended.push(attemptId);
--- a/packages/coordination/src/requests/attempt.ts
+++ b/packages/coordination/src/requests/attempt.ts
@@ -92,7 +92,7 @@
 		? finish(state, notRun(`could not connect to the host: ${reason}`), 'lost')
 		: handleLostConnection(state, reason))
 	.with({type: 'connectionLost', isUnsent: false}, ({reason}) => handleLostConnection(state, reason))
-	.with({type: 'settled'}, ({result}) => handleSettled(state, result))
+	.with({type: 'settled'}, ({result}) => handleResolution(state, result))
 	.with({type: 'settleFailed'}, () => finish(state, mayHaveRun('the connection to the host was lost and the outcome could not be queried'), 'lost'))
 	.with({type: 'gaveUp'}, ({cause}) => {
 		state.givenUp = cause;
@@ -130,7 +130,7 @@
 	return {type: 'resume', offset: state.offset};
 };
 
-const handleSettled = (state: AttemptState, result: 'ran' | 'running' | 'notRun' | 'unknown'): AttemptEffect => match(result)
+const handleResolution = (state: AttemptState, result: 'ran' | 'running' | 'notRun' | 'unknown'): AttemptEffect => match(result)
 	.with('notRun', () => finish(state, notRun(state.givenUp === null ? 'the connection to the host was lost before the request started' : giveUpReason(state.givenUp)), 'lost'))
 	.with('unknown', () => finish(state, mayHaveRun('the host was restarted or no longer has a record of the request'), 'lost'))
 	.with(P.union('ran', 'running'), () => state.givenUp === null ? resume(state) : finish(state, mayHaveRun(giveUpReason(state.givenUp)), 'lost'))
--- a/packages/coordination/test/router.test.ts
+++ b/packages/coordination/test/router.test.ts
@@ -207,7 +207,7 @@
 // One of three availability zones fails, and all of its hosts with it. If each host had
 // to fail three times first, many requests would be lost. The remaining zones must take
 // over, and only single trial requests may go to the failed zone.
-t.test('a failed availability zone is avoided immediately', async t => {
+t.test('a failed availability zone is excluded immediately', async t => {
 	const {router} = setUp(manyHosts(90, index => ({zone: `z${index % 3}`, capacity: 16})), {zoneId: 'entry-zone', minimumPerTier: 90});
 	for (let round = 0; round < 8; round++) {
 		for (const hostId of router.hosts.keys()) {
