--- a/packages/daemon/src/agent/activation.ts
+++ b/packages/daemon/src/agent/activation.ts
@@ -63,7 +63,7 @@
 
 export type EngineWatchOptions = {
 	readonly endpointAddress: string;
-	/** The weights that the agent believes are loaded in the engine. */
+	/** The weights that the agent assumes are loaded in the engine. */
 	readonly expected: () => {readonly versionId: string; readonly digest: string} | null;
 	/** The engine reports other weights, or its status could not be read twice in a row. */
 	onStateLost(detail: string): void;
--- a/packages/daemon/src/agent/announcer.ts
+++ b/packages/daemon/src/agent/announcer.ts
@@ -12,7 +12,7 @@
 	readonly addressOf: (hostId: string) => string | undefined;
 };
 
-/** Announces this host's chunks to its neighbours; announcements within a short window are batched into one message per neighbour. */
+/** Announces this host's chunks to its neighbor peers; announcements within a short window are batched into one message per peer. */
 export type Announcer = {
 	announce(to: readonly string[], chunks: readonly number[], isGreeting: boolean): void;
 	close(): void;
--- a/packages/daemon/src/agent/create-agent-node.ts
+++ b/packages/daemon/src/agent/create-agent-node.ts
@@ -47,7 +47,7 @@
 	readonly announcedAddress?: string;
 	/** @default 16 */
 	readonly capacity?: number;
-	/** When the request gate terminates runs whose endpoint is silent or whose answer nobody reads. */
+	/** When the request gate terminates runs whose endpoint sends no data or whose answer nobody reads. */
 	readonly limits?: RunLimits;
 	/** How often the request gate sends keep-alives to waiting entries. @default 500 */
 	readonly tickMs?: number;
--- a/packages/daemon/src/agent/fetch-chunk.ts
+++ b/packages/daemon/src/agent/fetch-chunk.ts
@@ -85,12 +85,12 @@
 
 /** Fetches from the origin, or immediately from the store if the origin fails. */
 const fetchFromSources = async (options: FetchChunkOptions): Promise<FetchOutcome> => {
-	const {links: {backoffs: rests}, sources} = options;
+	const {links: {backoffs}, sources} = options;
 	let outcome: FetchOutcome = {type: 'failed', reason: 'busy', detail: 'the origin and the store are in backoff'};
-	for (let choice = chooseSource(rests, performance.now()); choice.type === 'ask'; choice = chooseSource(rests, performance.now())) {
+	for (let choice = chooseSource(backoffs, performance.now()); choice.type === 'ask'; choice = chooseSource(backoffs, performance.now())) {
 		outcome = await fetchRange(options, sources[choice.source]!);
 		if (outcome.type === 'data') {
-			recordReached(rests, choice.source);
+			recordReached(backoffs, choice.source);
 			return outcome;
 		}
 
@@ -99,13 +99,13 @@
 		}
 
 		if (outcome.retryAfterMs === undefined) {
-			recordUnreachable(rests, choice.source, performance.now());
+			recordUnreachable(backoffs, choice.source, performance.now());
 		} else {
-			recordRateLimit(rests, choice.source, outcome.retryAfterMs, performance.now());
+			recordRateLimit(backoffs, choice.source, outcome.retryAfterMs, performance.now());
 		}
 	}
 
-	const choice = chooseSource(rests, performance.now());
+	const choice = chooseSource(backoffs, performance.now());
 	return {...outcome, retryAfterMs: choice.type === 'wait' ? choice.waitMs : 0};
 };
 
--- a/packages/daemon/src/agent/upload-server.ts
+++ b/packages/daemon/src/agent/upload-server.ts
@@ -21,7 +21,7 @@
 const busyRetryMs = 50;
 
 /** Serves `GET /chunks/MANIFEST/INDEX` to peers: few uploads at a time, paced by the link's budget. */
-export const createUploadServer = ({links, readChunk, maxWriteBytes: pieceBytes = defaultWriteBytes}: UploadServerOptions) => {
+export const createUploadServer = ({links, readChunk, maxWriteBytes = defaultWriteBytes}: UploadServerOptions) => {
 	const {uploads} = links;
 	let lastSend: Promise<void> = Promise.resolve();
 
@@ -34,8 +34,8 @@
 		});
 		await previousSend;
 		try {
-			for (let offset = 0; offset < data.length && !response.destroyed; offset += pieceBytes) {
-				const part = data.subarray(offset, offset + pieceBytes);
+			for (let offset = 0; offset < data.length && !response.destroyed; offset += maxWriteBytes) {
+				const part = data.subarray(offset, offset + maxWriteBytes);
 				await links.throttleOutgoing(part.length);
 				// Does not wait for a slow receiver, which would delay all others. The upload slots bound the buffered bytes.
 				response.write(part);
--- a/packages/daemon/src/control/answer-query.ts
+++ b/packages/daemon/src/control/answer-query.ts
@@ -40,7 +40,7 @@
 		model: rollout.modelId, from: rollout.fromFleetId, to: rollout.toFleetId, state: rollout.state, moved: rollout.movedPercent, of: rollout.percent,
 		step: rollout.step, detail: rollout.detail,
 	})))
-	// Only the entries know the requests; the entry that receives the query gathers them.
+	// Only the entries record requests; the entry that receives the query gathers them.
 	.with('requests', () => [])
 	.exhaustive();
 
--- a/packages/daemon/src/control/consensus-driver.ts
+++ b/packages/daemon/src/control/consensus-driver.ts
@@ -33,7 +33,7 @@
 	readonly state: ConsensusState;
 	receive(envelope: ConsensusEnvelope): void;
 	propose(payload: LogEntry['payload']): ProposalOutcome;
-	/** Hands the leadership over if this host leads and another voter is up to date; `state.role` shows when it is done. */
+	/** Transfers the leadership if this host leads and another voter is up to date; `state.role` shows when it is done. */
 	transferLeadership(): void;
 	/** Applies the member list on which the initial voters have agreed. */
 	form(members: Members): void;
--- a/packages/daemon/src/control/control-rpc.ts
+++ b/packages/daemon/src/control/control-rpc.ts
@@ -28,7 +28,7 @@
 	isLeader(): boolean;
 	/** Address of the leader; `undefined` while there is none or this host leads. */
 	leaderAddress(): string | undefined;
-	/** Resolves once this host has handed its leadership over; immediately if no hand-over is in progress. */
+	/** Resolves once this host has transferred its leadership; immediately if no transfer is in progress. */
 	whenHandedOver(): Promise<unknown>;
 	/** The state from which the leader answers queries. */
 	view(subject: Show['subject']): Promise<QueryView>;
--- a/packages/daemon/src/control/create-control-node.ts
+++ b/packages/daemon/src/control/create-control-node.ts
@@ -63,7 +63,7 @@
 	members(): Members;
 	/** Number of log syncs since the start. */
 	syncCount(): number;
-	/** Graceful shutdown: hands the leadership over, releases watching hosts to other control hosts, answers pending requests, then exits. */
+	/** Graceful shutdown: transfers the leadership, releases watching hosts to other control hosts, answers pending requests, then exits. */
 	stop(): Promise<void>;
 	/** Immediate shutdown. */
 	close(): Promise<void>;
--- a/packages/daemon/src/control/hand-over.ts
+++ b/packages/daemon/src/control/hand-over.ts
@@ -3,11 +3,11 @@
 
 export type HandOverOptions = {
 	readonly driver: ConsensusDriver;
-	/** Abandons the hand-over after this long; longer than an ordinary election takes, in which this host's vote may be needed. @default 2000 */
+	/** Abandons the transfer after this long; longer than an ordinary election takes, in which this host's vote may be needed. @default 2000 */
 	readonly timeoutMs?: number;
 };
 
-/** Result of the leadership hand-over of a stopping host. */
+/** Result of the leadership transfer of a stopping host. */
 export type HandOverResult
 	= | {readonly type: 'handedOver'; readonly leaderId: string; readonly tookMs: number}
 	/** This host is not the leader, or it is the only voter. */
@@ -16,7 +16,7 @@
 
 const pollIntervalMs = 5;
 
-/** Hands the leadership over and waits until another host leads. */
+/** Transfers the leadership and waits until another host leads. */
 export const handOverLeadership = async ({driver, timeoutMs = 2000}: HandOverOptions): Promise<HandOverResult> => {
 	const {state} = driver;
 	if (state.role !== 'leader' || state.members.voters.length < 2) {
@@ -27,12 +27,12 @@
 	driver.transferLeadership();
 	while (performance.now() < startedAtMs + timeoutMs) {
 		await delay(pollIntervalMs);
-		const {role, leaderId, transferStartedAtMs: transferSinceMs} = driver.state;
+		const {role, leaderId, transferStartedAtMs} = driver.state;
 		if (role === 'follower' && leaderId !== null) {
 			return {type: 'handedOver', leaderId, tookMs: Math.round(performance.now() - startedAtMs)};
 		}
 
-		if (role === 'leader' && transferSinceMs === null) {
+		if (role === 'leader' && transferStartedAtMs === null) {
 			// No voter caught up in time.
 			return {type: 'failed'};
 		}
--- a/packages/daemon/src/control/leader-calls.ts
+++ b/packages/daemon/src/control/leader-calls.ts
@@ -9,7 +9,7 @@
 	isLeader(): boolean;
 	/** Address of the leader; `undefined` while there is none or this host leads. */
 	leaderAddress(): string | undefined;
-	/** Resolves once this host has handed its leadership over; immediately if no hand-over is in progress. */
+	/** Resolves once this host has transferred its leadership; immediately if no transfer is in progress. */
 	whenHandedOver(): Promise<unknown>;
 };
 
--- a/packages/daemon/src/control/log-proposals.ts
+++ b/packages/daemon/src/control/log-proposals.ts
@@ -28,7 +28,7 @@
 			const outcome = append(payload);
 			if (outcome.type === 'rejected') {
 				throw new RpcError(rpcErrorCodes.notLeader, outcome.reason === 'handingOver'
-					? 'this control host is handing the leadership over; the change was not accepted, try again'
+					? 'this control host is transferring the leadership; the change was not accepted, try again'
 					: 'this control host does not lead');
 			}
 
--- a/packages/daemon/src/control/system-check.ts
+++ b/packages/daemon/src/control/system-check.ts
@@ -5,7 +5,7 @@
 export type SystemCheck = (callerSystemId: string | null) => void;
 
 /**
- * A host whose control host is gone may reach another system's control host at
+ * A host whose control host is down may reach another system's control host at
  * the same address. Without this check it would join that system and apply its
  * configuration, which nobody accepted for this host. A rejected host turns to
  * its other control hosts.
--- a/packages/daemon/src/dev/failure/create-failure-cluster.ts
+++ b/packages/daemon/src/dev/failure/create-failure-cluster.ts
@@ -25,7 +25,7 @@
 	readonly services?: readonly DeploymentService[];
 	/** One-way latency of every link between nodes. @default 0 */
 	readonly latencyMs?: number;
-	/** Availability zones, to which endpoints are assigned in turn. @default cascadiaHalls */
+	/** Availability zones, to which endpoints are assigned in turn. @default cascadiaZones */
 	readonly zoneLocations?: readonly ZoneLocation[];
 	/** @default 64 * 1024 */
 	readonly weightsBytes?: number;
@@ -39,7 +39,7 @@
 	readonly hostLossMs?: number;
 	/** Default deadline of a call at an entry. @default 2000 */
 	readonly deadlineMs?: number;
-	/** When request gates terminate runs whose endpoint is silent or whose answer nobody reads. @default {endpointIdleMs: 1500, unattendedMs: 1000} */
+	/** When request gates terminate runs whose endpoint sends no data or whose answer nobody reads. @default {endpointIdleMs: 1500, unattendedMs: 1000} */
 	readonly limits?: RunLimits;
 	/** Options of the agents for weights that differ from the defaults. */
 	readonly weights?: Pick<AgentNodeOptions, 'engineCheckMs' | 'keepMs' | 'originCopies' | 'storeAddress' | 'transferLimits'>;
@@ -130,7 +130,7 @@
 type Endpoints = {readonly engines: Map<string, FakeEngine>; readonly ledger: FakeService; readonly agents: Array<NodeHandle<AgentNode>>};
 
 const createEndpoints = async (context: Context): Promise<Endpoints> => {
-	const {history, zoneLocations: halls, tokenMs, checksFencing} = context;
+	const {history, zoneLocations, tokenMs, checksFencing} = context;
 	const engines = new Map<string, FakeEngine>();
 	const agents: Array<NodeHandle<AgentNode>> = [];
 	let ledger: FakeService | undefined;
@@ -148,7 +148,7 @@
 		}
 
 		agents.push(await createAgentHandle(context, {
-			hostId, serviceId, kind, provider, endpointAddress: endpoint.address, location: halls[index % halls.length]!,
+			hostId, serviceId, kind, provider, endpointAddress: endpoint.address, location: zoneLocations[index % zoneLocations.length]!,
 		}));
 	}
 
--- a/packages/daemon/src/dev/transfer-mesh.ts
+++ b/packages/daemon/src/dev/transfer-mesh.ts
@@ -33,7 +33,7 @@
 	/** Opens the store and starts the exchange; resolves once it runs. */
 	start(version: MeshVersion, peers: readonly TransferPeer[]): Promise<void>;
 	changePeers(peers: readonly TransferPeer[]): void;
-	/** Simulates a crash: responds to nobody and closes nothing in order. */
+	/** Simulates a crash: stops responding and closes no connection gracefully. */
 	kill(): Promise<void>;
 };
 
--- a/packages/daemon/src/entry/attempt-connection.ts
+++ b/packages/daemon/src/entry/attempt-connection.ts
@@ -113,7 +113,7 @@
  * Queries the agent's request gate on a new connection for the outcome of a
  * request whose connection failed or became silent. If the request has not
  * started, the gate bars it from then on; otherwise it could still arrive and
- * run after the caller was told that it did not run.
+ * run after the caller was informed that it did not run.
  */
 export const resolveAttempt = async ({endpoint, attemptId, issue}: Attempt, isCancel: boolean): Promise<AttemptEvent> => {
 	try {
--- a/packages/daemon/src/entry/dispatch.ts
+++ b/packages/daemon/src/entry/dispatch.ts
@@ -59,7 +59,7 @@
 	= | {readonly type: 'answer'; readonly answer: AttemptAnswer}
 		| {readonly type: 'running' | 'notRun' | 'unknown' | 'unreachable'};
 
-/** Resolves an attempt that another entry, which may have died since, dispatched; reads its answer if there is one. */
+/** Resolves an attempt that another entry, which may have crashed since, dispatched; reads its answer if there is one. */
 export const recover = async ({place, requestId, suspectMs, signal}: RecoverOptions): Promise<RecoveryResult> => {
 	const attempt: Attempt = {
 		requestId, suspectMs, signal, attemptId: place.attemptId, issue: place.issue, endpoint: {...place, versionId: null},
--- a/packages/daemon/src/entry/entry-peers.ts
+++ b/packages/daemon/src/entry/entry-peers.ts
@@ -66,7 +66,7 @@
 export type GatheredAnswers<Answer> = {readonly answers: Answer[]; readonly missingEntries: string[]};
 
 export type EntryPeers = {
-	/** Passes on each answer as it arrives, and requests a further entry in its place only once `onAnswer` has resolved. Resolves with the entries that gave none. */
+	/** Forwards each answer as it arrives, and sends the next request only once `onAnswer` has resolved. Resolves with the entries that did not answer. */
 	burn(token: string, nowMs: number, onAnswer: (answer: BurnAnswer) => Promise<void>): Promise<string[]>;
 	requests(token: string, selection: RequestSelection): Promise<GatheredAnswers<RequestsAnswer>>;
 };
@@ -89,21 +89,22 @@
  * Sends a request to every entry that control lists as live, including this one.
  * Concurrency is limited because hundreds of answers would otherwise be held
  * in memory at once. The time for a complete answer is limited too, because an
- * entry that sends a byte now and then is as useless to the report as a silent one.
+ * entry that sends single bytes at long intervals is as useless to the report as one that
+ * does not respond.
  */
 export const createEntryPeers = (configuration: Pick<ConfigurationClient, 'query'>, options: EntryPeersOptions = {}): EntryPeers => {
 	const {
-		silentMs = 3000, answerTimeoutMs: answerMs = 8000, totalTimeoutMs: totalMs = 20_000, concurrency: lanes = 8,
+		silentMs = 3000, answerTimeoutMs = 8000, totalTimeoutMs = 20_000, concurrency = 8,
 	} = options;
 
 	const gather = async <Schema extends z.ZodType>(method: string, schema: Schema, parameters: object, onAnswer: (answer: z.output<Schema>) => Promise<void>): Promise<string[]> => {
 		const {rows} = await configuration.query({type: 'show', subject: 'hosts', where: [{field: 'role', operator: '=', value: 'entry'}]});
-		const untilMs = performance.now() + totalMs;
+		const untilMs = performance.now() + totalTimeoutMs;
 		const missingEntries: string[] = [];
 		const remainingRows = rows.values();
 
 		const requestFrom = async (address: string): Promise<z.output<Schema> | null> => {
-			const callTimeoutMs = Math.ceil(Math.min(answerMs, untilMs - performance.now()));
+			const callTimeoutMs = Math.ceil(Math.min(answerTimeoutMs, untilMs - performance.now()));
 			if (callTimeoutMs <= 0) {
 				return null;
 			}
@@ -117,7 +118,7 @@
 			}
 		};
 
-		await Promise.all(Array.from({length: lanes}, async () => {
+		await Promise.all(Array.from({length: concurrency}, async () => {
 			for (const {host, address} of remainingRows) {
 				const answer = await requestFrom(String(address));
 				if (answer === null) {
--- a/packages/daemon/src/entry/limit-shares.ts
+++ b/packages/daemon/src/entry/limit-shares.ts
@@ -56,7 +56,7 @@
 			addresses = await listEntries();
 			updateEntries(shares, [...addresses.keys()], {askedAtMs, nowMs: performance.now()});
 		} catch {
-			// Without control, the last known entries continue to share the limit until this entry would be considered gone.
+			// Without control, the last known entries continue to share the limit until this entry would be considered lost.
 		} finally {
 			isRefreshing = false;
 			const isListed = shares.lastListedAtMs >= askedAtMs;
--- a/packages/daemon/src/entry/relay.ts
+++ b/packages/daemon/src/entry/relay.ts
@@ -18,7 +18,7 @@
 /** Sends callers their answers, or errors in the fixed format. */
 export type Relay = {
 	sendVerdict(call: Call, verdict: UnansweredVerdict): void;
-	/** Streams the answer to the caller; a truncated answer is cut off for the caller too. */
+	/** Streams the answer to the caller; a truncated answer is truncated for the caller too. */
 	stream(call: Call, answer: AttemptAnswer): Promise<void>;
 	/** Reads the complete answer before anything is sent to the caller, so that a broken answer can become an error: `null`. */
 	collect(requestId: string, answer: AttemptAnswer): Promise<Buffer | null>;
--- a/packages/daemon/src/host/watch-place.ts
+++ b/packages/daemon/src/host/watch-place.ts
@@ -64,7 +64,7 @@
 			const callSession = session;
 			return {
 				address: addresses()[0]!, session, isReportKnown: knownReport === text,
-				// After a failure, an idle connection of the pool may be as dead as the one that failed.
+				// After a failure, an idle connection of the pool may be as unusable as the one that failed.
 				agent: hasFailed ? false : undefined,
 				recordReportKnown(isKnown) {
 					hasFailed = false;
--- a/packages/daemon/test/adapter-answers.test.ts
+++ b/packages/daemon/test/adapter-answers.test.ts
@@ -80,8 +80,8 @@
 // An agent without adapter support, or an engine that disagrees with its agent,
 // answers a request for an adapter from the base model, from another base or from
 // another adapter. The wrong tag in the head must be detected before any byte
-// reaches the caller, who is told that the request may have run.
-t.test('an answer whose head has the wrong tag is not passed on', async t => {
+// reaches the caller, who gets the verdict that the request may have run.
+t.test('an answer whose head has the wrong tag is not forwarded', async t => {
 	for (const head of [undefined, otherBase, otherAdapter]) {
 		t.equal(await readAll(await dispatchToGate(t, tag, {head, marker: head})), 'mayHaveRun', head ?? 'the base model alone');
 	}
--- a/packages/daemon/test/dispatch.test.ts
+++ b/packages/daemon/test/dispatch.test.ts
@@ -29,13 +29,13 @@
 };
 
 /** A request gate whose answers are written by the test. */
-const createFakeGate = async (t: Test, settleResult: AttemptResolution['type'], handlers: {first: Handler; resume?: Handler}): Promise<FakeGate> => {
+const createFakeGate = async (t: Test, resolutionType: AttemptResolution['type'], handlers: {first: Handler; resume?: Handler}): Promise<FakeGate> => {
 	const calls: string[] = [];
 	const connections = new Set<unknown>();
 	const rpc = createRpcServer();
 	rpc.method('agent.settle', z.object({attemptId: z.string(), isCancel: z.boolean()}), ({isCancel}) => {
 		calls.push(isCancel ? 'cancel' : 'settle');
-		return {type: settleResult};
+		return {type: resolutionType};
 	});
 	const server = await createHttpServer({
 		listen: '127.0.0.1:0',
@@ -221,9 +221,9 @@
 }
 
 // The gate's answer about an unresolved request determines the verdict for the caller.
-for (const [settleResult, verdict] of [['notRun', 'notRun'], ['unknown', 'mayHaveRun']] as const) {
-	t.test(`a silent connection, resolved as ${settleResult}, gives ${verdict}`, async t => {
-		const gate = await createFakeGate(t, settleResult, {
+for (const [resolutionType, verdict] of [['notRun', 'notRun'], ['unknown', 'mayHaveRun']] as const) {
+	t.test(`a silent connection, resolved as ${resolutionType}, gives ${verdict}`, async t => {
+		const gate = await createFakeGate(t, resolutionType, {
 			first() {
 			// Never answers.
 			},
@@ -246,8 +246,8 @@
 });
 
 // The connection is reset after the request was sent, and the outcome cannot be
-// queried: the agent may have passed the request to the engine before it died.
-t.test('a host that dies after it received the request may have run it', async t => {
+// queried: the agent may have forwarded the request to the engine before it crashed.
+t.test('a host that crashes after it received the request may have run it', async t => {
 	const server = await createHttpServer({
 		listen: '127.0.0.1:0',
 		async handler(request) {
--- a/packages/daemon/test/limit-shares.test.ts
+++ b/packages/daemon/test/limit-shares.test.ts
@@ -70,8 +70,8 @@
 };
 
 // If the load balancer sends all callers of a team to one of two entries, they
-// would be refused at half of the team's limit. That entry must borrow the rest
-// over RPC until it has nearly the whole limit, and the sum must never exceed it.
+// would be refused at half of the team's limit. That entry must borrow the
+// remainder over RPC until it has nearly the full limit, and the sum must never exceed it.
 t.test('an entry borrows over RPC the share that another entry does not need', async t => {
 	const addresses = new Map<string, string>();
 	const first = await startNode(t, 'e1', addresses);
@@ -89,7 +89,7 @@
 
 // After a restart of the only entry, its callers must not wait for a token bucket
 // to fill: no other entry can have admitted requests at its expense.
-t.test('a single entry starts with the whole limit', async t => {
+t.test('a single entry starts with the full limit', async t => {
 	const alone = await startNode(t, 'e1', new Map());
 	await runUntil([alone], null, () => rateOf(alone) === tokensPerSecond);
 	t.equal(alone.admission.teams.get('t')!.bucket!.level, tokensPerSecond * 10);
--- a/packages/daemon/test/transfer.test.ts
+++ b/packages/daemon/test/transfer.test.ts
@@ -100,7 +100,7 @@
 };
 
 // One peer announces all chunks and sends other bytes. Each chunk is verified
-// before it is stored or passed on; after three bad ones the peer gets no more
+// before it is stored or forwarded; after three corrupted ones the peer gets no more
 // requests. All hosts end with the right bytes.
 t.test('a peer that sends wrong bytes', {timeout: testTimeoutMs}, async t => {
 	const burst = await createBurst(t);
