--- a/packages/test-support/src/engine/fake-engine.ts
+++ b/packages/test-support/src/engine/fake-engine.ts
@@ -86,7 +86,7 @@
 type Loaded = {readonly versionId: string; readonly digest: string; readonly fencingNumber: number};
 
 /**
- * Creates a small model engine: it reads the weights that it is told to load, and
+ * Creates a small model engine: it reads the weights that it is ordered to load, and
  * puts the digest of what it read into its answers, so that a test sees which
  * weights an answer came from.
  */
--- a/packages/test-support/src/history/calls.ts
+++ b/packages/test-support/src/history/calls.ts
@@ -32,7 +32,7 @@
 	return eventsOf(events, 'callStarted').map(started => {
 		const end = ended.get(started.callId);
 		const requestId = end === undefined || !('requestId' in end.outcome) ? null : end.outcome.requestId;
-		// Resends of a key share their text, so only the request id identifies the call of a run.
+		// Caller retries of a key share their text, so only the request id identifies the call of a run.
 		const own = started.key === null
 			? byEcho.get(started.echo) ?? []
 			: byRequestId.get(requestId ?? '') ?? [];
--- a/packages/test-support/src/history/check-leaving.ts
+++ b/packages/test-support/src/history/check-leaving.ts
@@ -33,7 +33,7 @@
 const overlap = (a: Interval, b: Interval): boolean => a.startMs <= b.endMs && b.startMs <= a.endMs;
 
 /**
- * Finds calls that were cut off, or got "may have run", while a node on their path
+ * Finds calls whose answer was truncated, or that got "may have run", while a node on their path
  * was in a planned stop or drain. A simultaneous fault on one of the nodes of the
  * path may have been the cause, so such a call does not count as a violation.
  */
--- a/packages/test-support/src/history/check-runs.ts
+++ b/packages/test-support/src/history/check-runs.ts
@@ -2,7 +2,7 @@
 import type {HistoryEvent} from './events.js';
 import type {Violation} from './violation.js';
 
-/** Checks that a key that must not be repeated has run at most once, whoever resent it and on whichever host. */
+/** Checks that a key that must not be repeated has run at most once, whichever caller retried it and on whichever host. */
 export const checkRunsPerKey = (events: readonly HistoryEvent[]): Violation[] => [...runsByKey(events)]
 	.filter(([, runs]) => runs.length > 1)
 	.map(([key, runs]) => ({
--- a/packages/test-support/src/history/record-call.ts
+++ b/packages/test-support/src/history/record-call.ts
@@ -6,7 +6,7 @@
 
 export type CallTarget
 	= | {readonly type: 'model'; readonly modelId: string; readonly isStream: boolean; readonly maxTokens: number}
-	/** Resends of one booking share their key and body. */
+	/** Caller retries of one booking share their key and body. */
 		| {readonly type: 'service'; readonly serviceId: string; readonly key: string};
 
 export type RecordCallOptions = {
--- a/packages/test-support/test/check-history.test.ts
+++ b/packages/test-support/test/check-history.test.ts
@@ -37,7 +37,7 @@
 
 const correctHistories: Record<string, HistoryEvent[]> = {
 	'an answer': historyOf(published, started, run, ended(complete)),
-	'a booking that was resent': historyOf(booked, {...booked, callId: 'c2'}, bookingRun('r1'), ended({
+	'a booking with a caller retry': historyOf(booked, {...booked, callId: 'c2'}, bookingRun('r1'), ended({
 		...complete, versionId: null, echo: 'k1', digests: [],
 	}), {type: 'callEnded', callId: 'c2', outcome: {type: 'notRun', requestId: 'r2'}}),
 	'a refusal': historyOf(published, started, ended({type: 'notRun', requestId: 'r1'})),
--- a/packages/transport/src/http/connection-pool.ts
+++ b/packages/transport/src/http/connection-pool.ts
@@ -13,8 +13,8 @@
 
 /**
  * Creates a pool of keep-alive connections with a maximum age. A middlebox
- * between two hosts can drop its state of an idle connection for good; the
- * maximum age bounds how long the pool hands out such a connection.
+ * between two hosts can drop its state of an idle connection permanently; the
+ * maximum age bounds how long the pool reuses such a connection.
  *
  * Data on an idle connection belongs to no request and closes the connection:
  * otherwise it would be taken for the response to the next request.
--- a/packages/transport/src/rpc/rpc-client.ts
+++ b/packages/transport/src/rpc/rpc-client.ts
@@ -44,12 +44,12 @@
 };
 
 const post = async ({
-	address, timeoutMs, agent, signal, answerLimitBytes, isCompressed: isPacked = false,
+	address, timeoutMs, agent, signal, answerLimitBytes, isCompressed = false,
 }: RpcCallOptions, payload: unknown): Promise<string> => {
 	const text = JSON.stringify(payload);
-	const {body, headers} = isPacked ? compressText(text) : {body: text, headers: {}};
+	const {body, headers} = isCompressed ? compressText(text) : {body: text, headers: {}};
 	const response = await sendHttp({
-		address, method: 'POST', path: rpcPath, headers: {'content-type': 'application/json', ...(isPacked ? acceptCompressedHeaders : {}), ...headers},
+		address, method: 'POST', path: rpcPath, headers: {'content-type': 'application/json', ...(isCompressed ? acceptCompressedHeaders : {}), ...headers},
 		body, idleTimeoutMs: timeoutMs, agent, signal,
 	});
 	const answer = decompressText(await readBody(response, answerLimitBytes), response, answerLimitBytes);
--- a/test/burn-fleet.test.ts
+++ b/test/burn-fleet.test.ts
@@ -12,13 +12,13 @@
 const nowMs = Date.UTC(2026, 5, 4, 12, 0, 30);
 const entryCount = 330;
 
-type Sample = {readonly atMs: number; readonly isWhole?: boolean};
+type Sample = {readonly atMs: number; readonly isComplete?: boolean};
 
 const answerOf = (entryId: string, samples: readonly Sample[]): BurnAnswer => {
 	const counter = createBurnCounter();
-	for (const {atMs, isWhole = true} of samples) {
+	for (const {atMs, isComplete = true} of samples) {
 		countSample(counter, {
-			serviceId: 'bp-writers', teamId: 'marshals', atMs, isComplete: isWhole, firstTokenMs: 100, firstTokenBoundMs: 1000,
+			serviceId: 'bp-writers', teamId: 'marshals', atMs, isComplete, firstTokenMs: 100, firstTokenBoundMs: 1000,
 		});
 	}
 
@@ -26,7 +26,7 @@
 };
 
 const answers = Array.from({length: entryCount}, (_, index) => answerOf(`entry-${index}`, [
-	{atMs: nowMs - (60_000 * (index % 50))}, {atMs: nowMs - (60_000 * (index % 50)), isWhole: index % 10 > 0}, {atMs: nowMs - (3_600_000 * (index % 70))},
+	{atMs: nowMs - (60_000 * (index % 50))}, {atMs: nowMs - (60_000 * (index % 50)), isComplete: index % 10 > 0}, {atMs: nowMs - (3_600_000 * (index % 70))},
 ]));
 
 const totalsOf = (report: BurnReport) => report.rows[0]!.answeredWhole.rates.map(({window, bad, total}) => [window, bad, total]);
@@ -131,9 +131,9 @@
 	t.equal(report.missingEntries.length, 59);
 });
 
-// The responses of hundreds of entries must not be in memory at the same time: a
-// lane requests the next entry's counts after its last response has been processed.
-t.test('no more responses are held than there are lanes', async t => {
+// The responses of hundreds of entries must not be in memory at the same time: the
+// next entry's counts are requested only after a response has been processed.
+t.test('no more responses are held than the concurrency limit allows', async t => {
 	const addresses = new Map<string, string>();
 	for (const answer of answers.slice(0, 40)) {
 		addresses.set(answer.entryId, await serve(t, answer));
@@ -158,19 +158,19 @@
 t.test('clocks that differ by seconds', async t => {
 	const offsetsMs = [-7000, -1000, 0, 1000, 7000];
 	const boundaryMs = Date.UTC(2026, 5, 4, 12);
-	for (const askedAtMs of [boundaryMs + 500, boundaryMs + 30_000, boundaryMs - 500]) {
+	for (const requestedAtMs of [boundaryMs + 500, boundaryMs + 30_000, boundaryMs - 500]) {
 		const skewed = offsetsMs.map((offsetMs, index) => {
 			const counter = createBurnCounter();
 			for (let second = 240; second >= 1; second--) {
 				countSample(counter, {
-					serviceId: 's', teamId: 't', atMs: askedAtMs - (1000 * second) + offsetMs, isComplete: second % 10 > 0, firstTokenMs: 100, firstTokenBoundMs: 1000,
+					serviceId: 's', teamId: 't', atMs: requestedAtMs - (1000 * second) + offsetMs, isComplete: second % 10 > 0, firstTokenMs: 100, firstTokenBoundMs: 1000,
 				});
 			}
 
-			return {entryId: `e${index}`, ...exportCounts(counter, askedAtMs)};
+			return {entryId: `e${index}`, ...exportCounts(counter, requestedAtMs)};
 		});
 		const {rows: [row]} = buildBurnReport({
-			nowMs: askedAtMs, answers: skewed, missingEntries: [], objectives: new Map(),
+			nowMs: requestedAtMs, answers: skewed, missingEntries: [], objectives: new Map(),
 		});
 		for (const {window, bad, total} of row!.answeredWhole.rates) {
 			const lostAtEdge = window === '5m' ? offsetsMs.reduce((sum, offsetMs) => sum + Math.max(0, -offsetMs / 1000), 0) : 0;
--- a/test/claims.test.ts
+++ b/test/claims.test.ts
@@ -34,7 +34,7 @@
 	const runs = (key: string): number => endpoint.runsPerKey.get(key) ?? 0;
 
 	// The first entry claims the key and is killed before it dispatches. The caller
-	// resends through another entry. It must get neither "in progress" forever nor
+	// retries through another entry. It must get neither "in progress" forever nor
 	// "may have run": the request gate reports that nothing arrived, so it runs, once.
 	await t.test('an entry is killed between claim and dispatch', async t => {
 		await writeAbandonedClaim(cluster, 'early');
@@ -43,7 +43,7 @@
 		t.equal(runs('early'), 1);
 	});
 
-	// The ledger is slow; the first entry is killed while it waits. A resend through
+	// The ledger is slow; the first entry is killed while it waits. A caller retry through
 	// another entry gets "in progress", and after the ledger has answered it gets
 	// exactly that answer. The booking ran once.
 	await t.test('an entry is killed between dispatch and outcome', async t => {
@@ -65,7 +65,7 @@
 	});
 
 	// The outcome is recorded and the answer is lost on its way to the caller. The
-	// resend gets the same answer, byte for byte; a different body with the same key
+	// caller retry gets the same answer, byte for byte; a different body with the same key
 	// is refused.
 	await t.test('an entry is killed after the outcome', async t => {
 		const first = await cluster.book('late', {entry: 1});
@@ -100,7 +100,7 @@
 	});
 
 	// The caller's deadline passes while the booking runs. The caller immediately gets
-	// "may have run". The run continues, and the resend gets its outcome.
+	// "may have run". The run continues, and the caller retry gets its outcome.
 	await t.test('the deadline passes while the booking runs', async t => {
 		endpoint.faults.stallMs = 500;
 		await cluster.book('deadline', {entry: 1, headers: {'x-bitternpaddle-deadline-ms': '200'}}).then(answer => {
@@ -123,8 +123,8 @@
 		endpoint.faults.isSilent = false;
 		await waitUntil('the agent is back', async () => (await cluster.book('other', {entry: 1})).status === 200);
 		for (const entry of [1, 2]) {
-			const resent = await cluster.book('lost', {entry});
-			t.equal(errorTypeOf(resent.text), 'may_have_run');
+			const retried = await cluster.book('lost', {entry});
+			t.equal(errorTypeOf(retried.text), 'may_have_run');
 		}
 
 		t.equal(runs('lost'), 1);
@@ -132,7 +132,7 @@
 });
 
 // The leader of the control hosts is lost while a booking runs. Its claim is in
-// the log of the others: a resend through another entry finds it under the new
+// the log of the others: a caller retry through another entry finds it under the new
 // leader, and gets the outcome of the only run.
 t.test('control fails over while a booking runs', async t => {
 	const cluster = await createRequestCluster(t, {ledgers: 1, entries: 2, controls: 3});
--- a/test/deployment-traces.test.ts
+++ b/test/deployment-traces.test.ts
@@ -75,9 +75,9 @@
 };
 
 const replay = async (deployment: Deployment, file: string) => {
-	const {locations: halls, services, latencyMs} = deployment;
+	const {locations: zoneLocations, services, latencyMs} = deployment;
 	const cluster = await createFailureCluster({
-		zoneLocations: halls, services, latencyMs: latencyMs.betweenRegions, deadlineMs: 10_000,
+		zoneLocations, services, latencyMs: latencyMs.betweenRegions, deadlineMs: 10_000,
 	});
 	try {
 		const steps = parseTrace(await readFile(file, 'utf8'));
--- a/test/limits-and-routing.test.ts
+++ b/test/limits-and-routing.test.ts
@@ -106,20 +106,20 @@
 	const cluster = await createDevCluster({engines: 1, entries: 1, limits: {maxQueuedPerTeam: 20}});
 	t.teardown(async () => cluster.close());
 	await setUp(cluster);
-	let longestRetryMs = 0;
+	let maxRetryMs = 0;
 	let remaining = 3000;
 	const sendRepeatedly = async (): Promise<void> => {
-		while (longestRetryMs <= minRetryMs && remaining-- > 0) {
+		while (maxRetryMs <= minRetryMs && remaining-- > 0) {
 			const {status, text} = await sendChat(cluster, 'large-key', 200);
 			if (status !== 200) {
-				longestRetryMs = Math.max(longestRetryMs, (JSON.parse(text) as {error: {retryAfterMs: number}}).error.retryAfterMs);
+				maxRetryMs = Math.max(maxRetryMs, (JSON.parse(text) as {error: {retryAfterMs: number}}).error.retryAfterMs);
 				await delay(50);
 			}
 		}
 	};
 
 	await Promise.all(Array.from({length: 60}, sendRepeatedly));
-	t.ok(longestRetryMs > minRetryMs, `the retry delay is ${longestRetryMs} ms`);
+	t.ok(maxRetryMs > minRetryMs, `the retry delay is ${maxRetryMs} ms`);
 });
 
 // Two entries send to one endpoint that runs 16, and neither knows what the other
--- a/test/processes-claims.test.ts
+++ b/test/processes-claims.test.ts
@@ -26,8 +26,8 @@
 
 const runsOf = ({history}: ProcessCluster): number => eventsOf(history.events, 'runStarted').filter(run => run.key === key).length;
 
-/** Resends through the remaining entry until the outcome is final; returns all outcomes. */
-const resend = async (cluster: ProcessCluster): Promise<CallOutcome[]> => {
+/** Retries through the remaining entry until the outcome is final; returns all outcomes. */
+const retryUntilFinal = async (cluster: ProcessCluster): Promise<CallOutcome[]> => {
 	const outcomes: CallOutcome[] = [];
 	await waitUntil('a final outcome', async () => {
 		outcomes.push(await cluster.book(`resend-${outcomes.length}`, {entry: 1, key}));
@@ -36,7 +36,7 @@
 	return outcomes;
 };
 
-/** Whether a resend may get this before the final outcome: the key is in progress, or it did not run. */
+/** Whether a caller retry may get this before the final outcome: the key is in progress, or it did not run. */
 const isNotFinal = ({type}: CallOutcome): boolean => type === 'refused' || type === 'notRun';
 
 const assertOneRun = (t: Test, cluster: ProcessCluster, outcomes: readonly CallOutcome[]): void => {
@@ -46,12 +46,12 @@
 };
 
 const assertAnswered = (t: Test, cluster: ProcessCluster, outcomes: readonly CallOutcome[]): void => {
-	t.match(outcomes.at(-1), {type: 'answered', isComplete: true, echo: key}, 'the resend gets the outcome');
+	t.match(outcomes.at(-1), {type: 'answered', isComplete: true, echo: key}, 'the caller retry gets the outcome');
 	assertOneRun(t, cluster, outcomes);
 };
 
 // An entry is killed while its claim of a booking is on its way to the control
-// hosts, and the claim arrives after the entry is gone. The resend through another
+// hosts, and the claim arrives after the entry has exited. The caller retry through another
 // entry finds the claim, has the request gate bar the request that was never sent,
 // and then runs the booking itself.
 t.test('an entry is killed before its claim is written', {timeout: 120_000}, async t => {
@@ -64,12 +64,12 @@
 		proxy.release();
 	}
 
-	assertAnswered(t, cluster, await resend(cluster));
+	assertAnswered(t, cluster, await retryUntilFinal(cluster));
 });
 
 // The claim is written, but the entry is killed before it gets the response: it
-// sends nothing to the ledger. The resend must neither wait for it forever nor run
-// in parallel with a request that is still on its way: the request gate bars that
+// sends nothing to the ledger. The caller retry must neither wait for it forever nor run
+// in parallel with a request that is still in transit: the request gate bars that
 // one first.
 t.test('an entry is killed after its claim and before the dispatch', {timeout: 120_000}, async t => {
 	const {cluster, proxies} = await startCluster(t, {pattern: /"type":"claim"/v, hold: 'answer'});
@@ -78,11 +78,11 @@
 	await cluster.entries[0]!.terminate('SIGKILL');
 	t.match(await first, {type: 'cut'});
 	t.equal(runsOf(cluster), 0, 'nothing has run yet');
-	assertAnswered(t, cluster, await resend(cluster));
+	assertAnswered(t, cluster, await retryUntilFinal(cluster));
 });
 
 // The ledger has the booking and has not answered when the entry is killed. A
-// resend gets "in progress"; the ledger answers, and the next resend gets that
+// caller retry gets "in progress"; the ledger answers, and the next one gets that
 // answer, read back from the request gate. Only if the answer takes more than five
 // seconds, the request gate has abandoned the run by then: it may have run.
 t.test('an entry is killed after the dispatch and before the answer', {timeout: 120_000}, async t => {
@@ -95,11 +95,11 @@
 	t.match(await first, {type: 'cut'});
 	t.match(await cluster.book('early', {entry: 1, key}), {type: 'refused', status: 409}, 'in progress');
 	relay.setModes({forward: 'open', backward: 'open'});
-	assertOneRun(t, cluster, await resend(cluster));
+	assertOneRun(t, cluster, await retryUntilFinal(cluster));
 });
 
 // The ledger has answered, and the entry is killed while it records the outcome;
-// the caller has got no response. The outcome never arrives. The resend gets the
+// the caller has got no response. The outcome never arrives. The caller retry gets the
 // ledger's answer from the request gate.
 t.test('an entry is killed after the answer and before the outcome is recorded', {timeout: 120_000}, async t => {
 	const {cluster, proxies} = await startCluster(t, {pattern: /"type":"concludeClaim"/v, hold: 'request'});
@@ -108,5 +108,5 @@
 	t.equal(runsOf(cluster), 1);
 	await cluster.entries[0]!.terminate('SIGKILL');
 	t.match(await first, {type: 'cut'});
-	assertAnswered(t, cluster, await resend(cluster));
+	assertAnswered(t, cluster, await retryUntilFinal(cluster));
 });
--- a/test/processes-stop.test.ts
+++ b/test/processes-stop.test.ts
@@ -31,7 +31,7 @@
 };
 
 // Operators send commands without a pause while the leader of the control hosts gets
-// SIGTERM. It accepts no more commands, commits those in flight, and tells an
+// SIGTERM. It accepts no more commands, commits those in flight, and notifies an
 // up-to-date voter to start an election at once. Every command is accepted, since
 // the others wait for the next leader and forward it; the process exits with code 0;
 // hosts that watched it watch another control host before their leases expire.
--- a/test/processes-suspended.test.ts
+++ b/test/processes-suspended.test.ts
@@ -11,9 +11,9 @@
 
 const bookUntilFinal = async (cluster: ProcessCluster, key: string): Promise<CallOutcome> => {
 	let outcome: CallOutcome = {type: 'cut'};
-	let resends = 0;
+	let retries = 0;
 	await waitUntil(`a final outcome of ${key}`, async () => {
-		outcome = await cluster.book(`${key}-resend-${resends++}`, {entry: 1, key});
+		outcome = await cluster.book(`${key}-resend-${retries++}`, {entry: 1, key});
 		return outcome.type === 'answered' || outcome.type === 'mayHaveRun';
 	}, {timeoutMs: stepTimeoutMs});
 	return outcome;
@@ -62,7 +62,7 @@
 // to the suspended one. Their entries find that the connections have stalled, try
 // new ones and get no response: no caller may get "not run". When resumed, the agents
 // read everything that was sent to them, late by an unknown time. Each booking has run
-// at most once, and a resend gets its outcome.
+// at most once, and a caller retry gets its outcome.
 t.test('suspended agents are resumed with requests in flight', {timeout: 120_000}, async t => {
 	const cluster = await createProcessCluster(t, {engines: 2, ledgers: 1, tokenMs: 20});
 	await cluster.load();
@@ -101,7 +101,7 @@
 const suspensionMs = 3500;
 
 // An entry is suspended while a booking runs, and another booking arrives in its
-// socket meanwhile. The callers resend through the other entry and get both booked.
+// socket meanwhile. The callers retry through the other entry and get both booked.
 // Then the first entry is resumed, finishes the one and reads the other: it responds
 // with the recorded outcome or with "not run" or "may have run"; it runs neither again.
 t.test('a suspended entry is resumed with bookings in flight', {timeout: 120_000}, async t => {
--- a/test/promises/adapters.test.ts
+++ b/test/promises/adapters.test.ts
@@ -100,7 +100,7 @@
 
 // The origin corrupts every chunk of the adapter, and recovers later. Until then
 // callers who request the adapter get "not run", and the base continues to serve;
-// no engine is told to load the file, because a chunk is verified before it is stored.
+// no engine is ordered to load the file, because a chunk is verified before it is stored.
 t.test('a corrupted chunk of an adapter', {timeout: 60_000}, async t => {
 	const cluster = await startCluster(t);
 	const adapter = await createAdapter(cluster, 1);
@@ -110,7 +110,7 @@
 		|| (await queryRows(cluster, `show transfers where version = ${adapter.key}`)).some(row => String(row.detail).includes('digest')));
 	t.match(await sendChat(cluster, 'while-corrupted'), {type: 'notRun'});
 	t.match(await sendChat(cluster, 'base', {modelId: 'pitch-desk'}), {type: 'answered', versionId: 'pitch-desk:v1'});
-	t.ok([...cluster.engines.values()].every(engine => engine.adapterOrders.length === 0), 'no engine was told to load it');
+	t.ok([...cluster.engines.values()].every(engine => engine.adapterOrders.length === 0), 'no engine was ordered to load it');
 	cluster.origin.faults.corruptedManifestId = undefined;
 	await waitUntilAdapterReady(cluster, adapter);
 	t.match(await sendChat(cluster, 'healed'), {type: 'answered', versionId: adapter.tag});
@@ -189,7 +189,7 @@
 	const outcomes = await sendChatsUntil(cluster, 'during', () => engines.every(engine => heldAdapterDigest(engine) === adapter.digest));
 
 	await waitUntilAdapterReady(cluster, adapter);
-	t.ok(engines.every(engine => engine.adapterOrders.length === 2), 'each was told to load it once more');
+	t.ok(engines.every(engine => engine.adapterOrders.length === 2), 'each was ordered to load it once more');
 	t.ok(engines.every(engine => engine.runs.every(run => run.adapterDigest === adapter.digest)), 'nothing ran with the base alone');
 	assertAnswersOnlyFrom(t, outcomes, [adapter]);
 	t.same(checkHistory(cluster.history.events), []);
@@ -222,7 +222,7 @@
 });
 
 // The adapter is withdrawn while a long answer streams from it. New requests are
-// refused at once, the stream completes, and only then is the engine told to
+// refused at once, the stream completes, and only then is the engine ordered to
 // unload the adapter.
 t.test('an adapter withdrawn while a stream runs', {timeout: 60_000}, async t => {
 	const cluster = await startCluster(t, {tokenMs: 10, deadlineMs: 20_000, weights: {engineCheckMs: 100}});
@@ -262,6 +262,6 @@
 	t.same(second, first, 'the same response');
 	await waitUntilAdapterReady(cluster, adapter);
 	t.match(await sendChat(cluster, 'last'), {type: 'answered', versionId: adapter.tag});
-	t.ok([...cluster.engines.values()].every(engine => engine.adapterOrders.length === 1), 'each engine was told to load it once');
+	t.ok([...cluster.engines.values()].every(engine => engine.adapterOrders.length === 1), 'each engine was ordered to load it once');
 	t.same(checkHistory(cluster.history.events), []);
 });
--- a/test/promises/not-run.test.ts
+++ b/test/promises/not-run.test.ts
@@ -45,8 +45,8 @@
 // The ledger's host loses power while a booking runs there and restarts at the
 // same address without its state. The entry's connection closes and it tries to
 // resolve the attempt with the new process. If that one reported "not run", the
-// caller would book again and pay twice; it reports that it does not know, and
-// every resend, through either entry, gets "may have run".
+// caller would book again and pay twice; it reports that the outcome is unknown, and
+// every caller retry, through either entry, gets "may have run".
 t.test('a restarted agent does not report on requests of its predecessor', {timeout: 60_000}, async t => {
 	const cluster = await startCluster();
 	t.teardown(async () => cluster.close());
@@ -61,8 +61,8 @@
 	ledger.faults.isSilent = false;
 	await agents.at(-1)!.start();
 	t.match(await first, {type: 'mayHaveRun'}, 'the caller does not get "not run"');
-	for (const resend of [0, 1, 2]) {
-		t.match(await book(cluster, `resend-${resend}`, resend % 2, 'stall-7'), {type: 'mayHaveRun'});
+	for (const retry of [0, 1, 2]) {
+		t.match(await book(cluster, `resend-${retry}`, retry % 2, 'stall-7'), {type: 'mayHaveRun'});
 	}
 
 	t.equal(ledger.runsPerKey.get('stall-7'), 1);
@@ -70,7 +70,7 @@
 });
 
 // The entry is killed after the ledger has booked and before the outcome is
-// recorded. The caller resends through the other entry until it gets a final
+// recorded. The caller retries through the other entry until it gets a final
 // outcome: the booking's answer, read back from the request gate, or "may have
 // run"; the booking never runs again.
 t.test('an entry that is killed between a booking and the record of its outcome', {timeout: 60_000}, async t => {
@@ -86,9 +86,9 @@
 	await entries[0]!.kill();
 	t.match(await first, {type: 'cut'});
 	let outcome: CallOutcome = {type: 'refused', status: 409};
-	for (let resend = 0; resend < 200 && outcome.type === 'refused'; resend++) {
+	for (let retry = 0; retry < 200 && outcome.type === 'refused'; retry++) {
 		await delay(100);
-		outcome = await book(cluster, `resend-${resend}`, 1, 'gate-3');
+		outcome = await book(cluster, `resend-${retry}`, 1, 'gate-3');
 	}
 
 	t.match(outcome, {type: 'mayHaveRun'}, 'the claim of the killed entry is not held forever');
--- a/test/promises/weights.test.ts
+++ b/test/promises/weights.test.ts
@@ -37,7 +37,7 @@
 // later; meanwhile a host that is fetching chunks is killed and restarted. Callers
 // get answers of the first version, then of the second, all from the right
 // weights: a chunk is verified before it is stored or sent to a peer, and the
-// complete file before the engine is told to load it.
+// complete file before the engine is ordered to load it.
 t.test('corrupted chunks and a restart during a transfer', {timeout: 90_000}, async t => {
 	const cluster = await startCluster(t, 3);
 	let isOver = false;
