--- a/packages/daemon/src/control/peer-sender.ts
+++ b/packages/daemon/src/control/peer-sender.ts
@@ -4,7 +4,7 @@
 export type PeerSenderOptions = {
 	addressOf(memberId: string): string | undefined;
 	/** Whether long messages are compressed. @default false */
-	readonly isPacked?: boolean;
+	readonly isCompressed?: boolean;
 	/** If a peer doesn't answer for this long, the next messages are sent on a new connection. @default 300 */
 	readonly timeoutMs?: number;
 	/** @default 5000 */
@@ -21,7 +21,7 @@
  * queued during a call are batched into the next. Concurrent calls would
  * overtake each other, and each overtaken append is rejected and resent.
  */
-export const createPeerSender = ({addressOf, isPacked = false, timeoutMs = 300, snapshotTimeoutMs = 5000}: PeerSenderOptions): (envelope: ConsensusEnvelope) => void => {
+export const createPeerSender = ({addressOf, isCompressed = false, timeoutMs = 300, snapshotTimeoutMs = 5000}: PeerSenderOptions): (envelope: ConsensusEnvelope) => void => {
 	const queues = new Map<string, PeerQueue>();
 
 	const post = async (to: string, envelopes: readonly ConsensusEnvelope[], requestTimeoutMs: number): Promise<void> => {
@@ -32,7 +32,7 @@
 
 		// The consensus protocol resends a lost message.
 		await notifyRpc({
-			address, method: 'consensus.messages', params: {envelopes}, timeoutMs: requestTimeoutMs, isCompressed: isPacked,
+			address, method: 'consensus.messages', params: {envelopes}, timeoutMs: requestTimeoutMs, isCompressed,
 		}).catch(() => undefined);
 	};
 
--- a/packages/gateway/src/core/document-log.ts
+++ b/packages/gateway/src/core/document-log.ts
@@ -68,7 +68,7 @@
 	const {
 		selfAddress, folder, isFirstStart, seeds, otherAddresses, voterCount, clock, logger, onChange,
 	} = options;
-	const send = createPeerSender({addressOf: memberId => hostOfMember(memberId), isPacked: true});
+	const send = createPeerSender({addressOf: memberId => hostOfMember(memberId), isCompressed: true});
 	let state = createDocumentState();
 	let appliedIndex = 0;
 	let appliedTerm = 0;
