--- a/test/requests.test.ts
+++ b/test/requests.test.ts
@@ -104,9 +104,9 @@
 	// it gets "may have run" for its own request.
 	await t.test('the engine sends the answer to another request', async t => {
 		await cluster.chat({content: 'somebody else\'s question'});
-		setFaults({isCrossed: true});
+		setFaults({sendsPreviousAnswer: true});
 		const answer = await cluster.chat({content: 'mine', stream: false});
-		setFaults({isCrossed: undefined});
+		setFaults({sendsPreviousAnswer: undefined});
 		t.equal(errorTypeOf(answer.text), 'may_have_run');
 		t.notOk(answer.text.includes('somebody'));
 	});
