--- a/packages/coordination/src/placement/objective-mix.ts
+++ b/packages/coordination/src/placement/objective-mix.ts
@@ -7,7 +7,7 @@
 /** Rates of arrivals and of refusals for load, by latency objective, for one service. */
 export type ObjectiveMix = {readonly classes: Map<number, ObjectiveClass>};
 
-/** Objectives with less than this share of all arrivals do not affect the admission of other requests. */
+/** Objectives with less than this share of all arrivals do not affect the admission of other requests: the requirements of a few must not constrain the rest. */
 const minShare = 0.05;
 /**
  * Share of refusals within an objective. Below it, engines carry the load apart from
